--- a/vanillawell/tests/fleet_base.py
+++ b/vanillawell/tests/fleet_base.py
@@ -77,7 +77,7 @@
         self.replies: list[Reply] = []
         self.stopping = False
 
-    def leave(self, entry: EntryHandle) -> None:
+    def remove_entry(self, entry: EntryHandle) -> None:
         """Send nothing more to an entry, as the balancer does once it is not ready."""
         self._entries.remove(entry)
 
@@ -97,7 +97,7 @@
             await anyio.sleep(self._pause)
 
 
-def during_load(callers: SteadyCallers, script: Callable[[], None]) -> list[Reply]:
+def run_during_load(callers: SteadyCallers, script: Callable[[], None]) -> list[Reply]:
     """Run a blocking script of faults in a thread while callers send."""
 
     async def run() -> None:
--- a/vanillawell/tests/jobs_tests.py
+++ b/vanillawell/tests/jobs_tests.py
@@ -19,7 +19,7 @@
 )
 from vanillawell.tests.builders import QUICK_TIMING
 from vanillawell.tests.caller import Call
-from vanillawell.tests.fleet_base import SteadyCallers, during_load, running_fleet
+from vanillawell.tests.fleet_base import SteadyCallers, run_during_load, running_fleet
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -151,10 +151,10 @@
             wait_until(lambda: fleet.finished_jobs()["stops"] > 0, "jobs give way")
             fleet.set_up_workers(**workers_now)
             killed = job_runner(fleet)
-            callers.leave(killed)
+            callers.remove_entry(killed)
             killed.process.kill()
 
-        during_load(callers, peak)
+        run_during_load(callers, peak)
         ended = {"done", "failed"}
         wait_until(lambda: set(states(fleet).values()) <= ended, "all jobs end", bound=60.0)
         good = sorted(jobs[kind] for kind in kinds)
