--- a/vanillawell/coordination/candidate.py
+++ b/vanillawell/coordination/candidate.py
@@ -12,7 +12,7 @@
 from vanillawell import clock
 from vanillawell.coordination.challenger import PRECEDENCE
 from vanillawell.coordination.holder_watch import HolderWatch
-from vanillawell.coordination.kept_lease import KeptLease
+from vanillawell.coordination.renewed_lease import RenewedLease
 from vanillawell.coordination.shard_claim import ShardClaim
 from vanillawell.coordination.term import LEASE, Term
 from vanillawell.exceptions import StoreError, StoreOutcomeUnknownError
@@ -164,7 +164,7 @@
         bounds = await self._read_bounds(before.token)
         sent = clock.read()
         number = await self._store.grant_lease(LEASE)
-        lease = KeptLease(self._store, number, LEASE, sent)
+        lease = RenewedLease(self._store, number, LEASE, sent)
         proof = Put(self._term_key, document.to_bytes())
         transaction = Transaction(
             compares=[
@@ -194,7 +194,7 @@
         log.info("shard taken", extra={**fields, "weakness": round(self._me.weakness, 3)})
         return Term(self._store, self._term_key, document, result.revision, lease, bounds)
 
-    async def _end(self, lease: KeptLease) -> None:
+    async def _end(self, lease: RenewedLease) -> None:
         """End the lease of a claim that failed, so that no try of it takes effect any more."""
         with anyio.move_on_after(END_BOUND, shield=True) as bound:
             try:
--- a/vanillawell/coordination/driver_clocks.py
+++ b/vanillawell/coordination/driver_clocks.py
@@ -19,11 +19,11 @@
     def __init__(self, drivers: Mapping[str, ExecutorDriver]) -> None:
         self._drivers = drivers
 
-    def at_least(self, now: float) -> dict[str, float]:
+    def lower_bound(self, now: float) -> dict[str, float]:
         """Return what the clocks surely show now, by executors' lives."""
-        return {incarnation_id(item.executor): item.clock.at_least(now) for item in self._read()}
+        return {incarnation_id(item.executor): item.clock.lower_bound(now) for item in self._read()}
 
-    def at_most(self, now: float) -> dict[str, float]:
+    def upper_bound(self, now: float) -> dict[str, float]:
         """Return what the clocks show now at most, by executors' lives.
 
         Those come first that a successor can probably read: of executors in touch, those with
@@ -37,7 +37,7 @@
                 -item.clock.read_at,
             ),
         )
-        return {incarnation_id(item.executor): item.clock.at_most(now) for item in read}
+        return {incarnation_id(item.executor): item.clock.upper_bound(now) for item in read}
 
     def _read(self) -> list[ExecutorDriver]:
         return [item for item in self._drivers.values() if item.knows_clock]
--- a/vanillawell/coordination/executor_driver.py
+++ b/vanillawell/coordination/executor_driver.py
@@ -9,7 +9,7 @@
 
 from vanillawell import clock
 from vanillawell.coordination.executor_link import RETRY_PAUSE
-from vanillawell.coordination.leases import HOLDING_AFTER_LAPSE
+from vanillawell.coordination.leases import RENEWAL_AFTER_LAPSE
 from vanillawell.coordination.run_orders import RunOrders
 from vanillawell.protocol.calls import NoAnswerError, NotSentError
 from vanillawell.protocol.executor_calls import OrderRefusedError, WrongIncarnationError
@@ -242,7 +242,7 @@
             return None
         if not self._link.may_extend_lease():
             return None
-        if self._link.term.lapsed_for(now) > HOLDING_AFTER_LAPSE:
+        if self._link.term.lapsed_for(now) > RENEWAL_AFTER_LAPSE:
             return None
         return self._link.extend_lease(now)
 
--- a/vanillawell/coordination/executor_link.py
+++ b/vanillawell/coordination/executor_link.py
@@ -9,14 +9,14 @@
 import anyio
 
 from vanillawell import clock
-from vanillawell.coordination.leases import LEASE, LEASE_MARGIN, ExecutorClock
+from vanillawell.coordination.leases import LEASE_MARGIN, TASK_LEASE, ExecutorClock
 from vanillawell.protocol.executor_calls import Refused, Target
 from vanillawell.state.executors import UNREACHABLE_BLOCK_TIME
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from vanillawell.coordination.lease_keeper import LeaseKeeper
+    from vanillawell.coordination.lease_manager import LeaseManager
     from vanillawell.coordination.term import Term
     from vanillawell.protocol.executor_calls import ExecutorCalls, OrderRefusedError
     from vanillawell.state.executors import Executor
@@ -55,7 +55,7 @@
     calls: ExecutorCalls
     shard: Shard
     term: Term
-    leases: LeaseKeeper
+    leases: LeaseManager
     wake_owner: Callable[[], None]
     wall: Callable[[], float]
     longest_lease: float
@@ -109,9 +109,9 @@
 
         From here on the lease is reckoned with, since the call may arrive.
         """
-        lease = min(LEASE, self.longest_lease)
+        lease = min(TASK_LEASE, self.longest_lease)
         before = self.executor.lease_expires_at
-        over = self.clock.surely_over(now, lease) + self.kill_grace + LEASE_MARGIN
+        over = self.clock.latest_lease_end(now, lease) + self.kill_grace + LEASE_MARGIN
         self.executor.lease_expires_at = max(before, over)
         self._extensions += 1
         return LeaseExtension(self.clock.lease_end(now, lease), self._extensions, before)
@@ -129,7 +129,7 @@
         """Take in the answer to a call to one life that was sent at `sent`, with a reading of its
         clock."""
         if incarnation == self._clock_life:
-            self.clock.note(reading, sent, now)
+            self.clock.add_reading(reading, sent, now)
         self.answered_at = now
 
     def block_placement(self) -> None:
--- a/vanillawell/coordination/hand_over.py
+++ b/vanillawell/coordination/hand_over.py
@@ -14,7 +14,7 @@
     from collections.abc import Iterable, Mapping
 
     from vanillawell.coordination.executor_driver import ExecutorDriver
-    from vanillawell.coordination.lease_keeper import LeaseKeeper
+    from vanillawell.coordination.lease_manager import LeaseManager
     from vanillawell.coordination.term import Term
     from vanillawell.protocol.store import Put
     from vanillawell.state.executors import Executor
@@ -46,7 +46,7 @@
 
 async def store_last_bounds(
     term: Term,
-    leases: LeaseKeeper,
+    leases: LeaseManager,
     executors: Mapping[str, Executor],
     until: float,
     unanswered: frozenset[str] = frozenset(),
--- a/vanillawell/coordination/holder_watch.py
+++ b/vanillawell/coordination/holder_watch.py
@@ -8,7 +8,7 @@
 import anyio
 
 from vanillawell import clock
-from vanillawell.coordination.follow import PrefixFollower
+from vanillawell.coordination.prefix_watch import PrefixWatch
 from vanillawell.protocol.work_documents import Contender
 
 if TYPE_CHECKING:
@@ -37,7 +37,7 @@
         self._held_since = 0.0
         self._bid: Contender | None = None
         self._bid_revision = 0
-        self._follower = PrefixFollower(
+        self._follower = PrefixWatch(
             store, keys.holders, HOLDER_WAIT, self._take_listing, self._take_changes
         )
 
--- a/vanillawell/coordination/inbox.py
+++ b/vanillawell/coordination/inbox.py
@@ -9,7 +9,7 @@
 import anyio
 
 from vanillawell import clock
-from vanillawell.coordination.follow import PrefixFollower
+from vanillawell.coordination.prefix_watch import PrefixWatch
 from vanillawell.exceptions import StoreError
 from vanillawell.protocol.work_documents import read_job
 
@@ -42,7 +42,7 @@
         self._heard = 0.0
         self.is_read = False
         """Whether everything is known that callers asked for before this term."""
-        self._follower = PrefixFollower(
+        self._follower = PrefixWatch(
             store, keys.inbox, FOLLOW_WAIT, self._take_listing, self._take_changes
         )
 
--- a/vanillawell/coordination/former_orders.py
+++ b/vanillawell/coordination/inherited_orders.py
@@ -8,7 +8,7 @@
 import anyio
 
 from vanillawell import clock
-from vanillawell.coordination.follow import Backoff
+from vanillawell.coordination.prefix_watch import Backoff
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -25,7 +25,7 @@
 """Machines that are named in one log line."""
 
 
-class FormerOrders:
+class InheritedOrders:
     """Withhold the machines of a former owner's orders for one term.
 
     An order that was announced may be sent, and carried out, after the change of owner. The
--- a/vanillawell/coordination/work_desk.py
+++ b/vanillawell/coordination/job_service.py
@@ -10,8 +10,8 @@
 import orjson
 
 from vanillawell import clock
-from vanillawell.coordination.follow import Backoff
-from vanillawell.coordination.store_doubt import PROBE_BOUND, StoreDoubt
+from vanillawell.coordination.prefix_watch import Backoff
+from vanillawell.coordination.store_health import PROBE_BOUND, StoreHealth
 from vanillawell.exceptions import StoreError, StoreOutcomeUnknownError, StoreUnavailableError
 from vanillawell.protocol.refusals import Reason, Refusal
 from vanillawell.protocol.store import Compare, Put, Transaction
@@ -20,7 +20,7 @@
 from vanillawell.state.work import JobState
 
 if TYPE_CHECKING:
-    from vanillawell.coordination.policy_follower import PolicyFollower
+    from vanillawell.coordination.policy_watch import PolicyWatch
     from vanillawell.protocol.store import FollowedStore
     from vanillawell.protocol.work_documents import WorkKeys
     from vanillawell.state.work import Job
@@ -34,7 +34,7 @@
 STORE_RETRY_AFTER = 1.0
 """Seconds after which a caller may come back when the store was away; outages last seconds."""
 
-LONGEST_CALL = 2.5
+DEFAULT_CALL_TIMEOUT = 2.5
 """Seconds for which an entry tries to answer a caller that named no time itself."""
 
 TRIES_IN_DOUBT = 2
@@ -59,7 +59,7 @@
     """Empty for a caller without a key on a queue that needs none."""
 
 
-class WorkDesk:
+class JobService:
     """Check callers and turn their calls into reads and writes of the store."""
 
     def __init__(
@@ -67,7 +67,7 @@
         store: FollowedStore,
         keys: WorkKeys,
         shard: str,
-        policies: PolicyFollower,
+        policies: PolicyWatch,
         revoke_bound: float | None,
     ) -> None:
         self._store = store
@@ -77,7 +77,7 @@
         self._revoke_bound = revoke_bound
         """Seconds after which a withdrawn key must not work; None if only for those in touch."""
 
-        self._doubt = StoreDoubt()
+        self._doubt = StoreHealth()
         policies.on_outcome(self._note_outcome)
 
     def _note_outcome(self, answered: bool) -> None:
--- a/vanillawell/coordination/lease_keeper.py
+++ b/vanillawell/coordination/lease_manager.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from vanillawell.coordination.leases import REFERENCE_CLOCKS, surely_passed
+from vanillawell.coordination.leases import REFERENCE_CLOCKS, min_elapsed
 from vanillawell.protocol.lease_bounds import ExecutorBound, LeaseBounds
 from vanillawell.protocol.store import Put
 from vanillawell.state.ledger import InheritedLeaseBound
@@ -27,7 +27,7 @@
 
 log = logging.getLogger(__name__)
 
-ROUNDING = 0.1
+STORED_BOUND_MARGIN = 0.1
 """Seconds added to a stored bound."""
 
 PASSED_ON = 0.01
@@ -50,7 +50,7 @@
     """Whether it is the last word of an owner that hands over."""
 
 
-class LeaseKeeper:
+class LeaseManager:
     """Say for one term which leases may be extended, and what is stored of the others."""
 
     def __init__(
@@ -92,7 +92,7 @@
         if bound is None:
             return InheritedLeaseBound(now + self._longest_doubt, now)
         return InheritedLeaseBound(
-            now + bound.left + ROUNDING, now - bound.known_for, bound.machine, bound.life
+            now + bound.left + STORED_BOUND_MARGIN, now - bound.known_for, bound.machine, bound.life
         )
 
     def count_time_passed(self, executors: Iterable[Executor], now: float) -> None:
@@ -100,11 +100,11 @@
         unreached = [item for item in executors if item.runs and not item.contacted]
         if not unreached:
             return
-        passed = surely_passed(self._former.clocks, self._clocks.at_least(now))
+        passed = min_elapsed(self._former.clocks, self._clocks.lower_bound(now))
         for executor in unreached:
             bound = self._former.of(executor.name)
             if bound is not None:
-                over = now + max(0.0, bound.left - passed) + ROUNDING
+                over = now + max(0.0, bound.left - passed) + STORED_BOUND_MARGIN
                 executor.lease_expires_at = min(executor.lease_expires_at, over)
 
     def may_extend(self, executor: str) -> bool:
@@ -158,7 +158,7 @@
         if not last and not self._drafts and self._stored == silent.keys():
             return None
         others = {item.name: self._bound(item, now) for item in charged if item.name not in silent}
-        clocks = itertools.islice(self._clocks.at_most(now).items(), REFERENCE_CLOCKS)
+        clocks = itertools.islice(self._clocks.upper_bound(now).items(), REFERENCE_CLOCKS)
         document = LeaseBounds(self._token, silent, others if last else {}, dict(clocks))
         return self._begin_write(document, last)
 
@@ -218,6 +218,6 @@
         """Return what to store of an executor; a bound that was only found grows no more by it."""
         facts = executor.facts
         is_found = not executor.contacted and self._former.of(executor.name) is not None
-        added = ROUNDING - PASSED_ON if is_found else 0.0
+        added = STORED_BOUND_MARGIN - PASSED_ON if is_found else 0.0
         left, known_for = executor.lease_expires_at - now - added, now - executor.tracked_since
         return ExecutorBound(max(0.0, left), known_for, facts.machine, facts.incarnation)
--- a/vanillawell/coordination/leases.py
+++ b/vanillawell/coordination/leases.py
@@ -8,7 +8,7 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-LEASE = 5.0
+TASK_LEASE = 5.0
 """Seconds for which running tasks outlive their owner's last word.
 
 Longer than noticing a lost owner and taking over (2.5 s) with room for a short outage of the store;
@@ -20,7 +20,7 @@
 LEASE_MARGIN = 0.1
 """Seconds added to the time after which a lease is taken as expired, for rounding."""
 
-HOLDING_AFTER_LAPSE = 3.0
+RENEWAL_AFTER_LAPSE = 3.0
 """Seconds for which an owner that lost touch with the store still renews what runs.
 
 Nobody can take over while the store is away for all, and work should live through that: with the
@@ -37,11 +37,11 @@
 
     The former owner's last renewal, the lease it gave on a slow clock, and the kill.
     """
-    lease = min(LEASE, longest_lease)
-    return HOLDING_AFTER_LAPSE + lease * (1 + CLOCK_DRIFT) + kill_grace + LEASE_MARGIN
+    lease = min(TASK_LEASE, longest_lease)
+    return RENEWAL_AFTER_LAPSE + lease * (1 + CLOCK_DRIFT) + kill_grace + LEASE_MARGIN
 
 
-def surely_passed(before: Mapping[str, float], present: Mapping[str, float]) -> float:
+def min_elapsed(before: Mapping[str, float], present: Mapping[str, float]) -> float:
     """Return the seconds that have surely passed since executors' clocks showed `before` at most.
 
     Readings are by executors' lives; `present` is what the clocks show now at least. They may be
@@ -66,7 +66,7 @@
     _most_ahead: float = float("inf")
     """Seconds by which the clock is ahead of this process's at most, by all answers so far."""
 
-    def note(self, value: float, sent: float, now: float) -> None:
+    def add_reading(self, value: float, sent: float, now: float) -> None:
         """Take in a reading from the answer, read now, to a call that was sent at `sent`."""
         self.value, self.read_at = value, now
         self._most_ahead = min(self._most_ahead, value - sent)
@@ -80,12 +80,12 @@
         assert self.value is not None
         return self.value + now - self.read_at
 
-    def at_least(self, now: float) -> float:
+    def lower_bound(self, now: float) -> float:
         """Return what the clock surely shows now; it must have been read before."""
         assert self.value is not None
         return self.value + (now - self.read_at) * (1 - CLOCK_DRIFT)
 
-    def at_most(self, now: float) -> float:
+    def upper_bound(self, now: float) -> float:
         """Return what the clock shows now at most; it must have been read before."""
         return now + self._most_ahead
 
@@ -93,7 +93,7 @@
         """Return the executor's time at which a lease that begins now should end."""
         return self.at(now) + lease
 
-    def surely_over(self, now: float, lease: float) -> float:
+    def latest_lease_end(self, now: float, lease: float) -> float:
         """Return when such a lease has surely ended, on this process's clock."""
         return now + (lease + now - self.read_at) * (1 + CLOCK_DRIFT) - (now - self.read_at)
 
@@ -101,8 +101,8 @@
 class ExecutorClocks(Protocol):
     """Read the steady clocks of executors, in seconds by their lives."""
 
-    def at_least(self, now: float) -> Mapping[str, float]:
+    def lower_bound(self, now: float) -> Mapping[str, float]:
         """Return what they surely show now."""
 
-    def at_most(self, now: float) -> Mapping[str, float]:
+    def upper_bound(self, now: float) -> Mapping[str, float]:
         """Return what they show now at most, those that are likely to live on first."""
--- a/vanillawell/coordination/machine_orders.py
+++ b/vanillawell/coordination/machine_orders.py
@@ -20,7 +20,7 @@
 import orjson
 
 from vanillawell import clock
-from vanillawell.coordination.leases import REFERENCE_CLOCKS, surely_passed
+from vanillawell.coordination.leases import REFERENCE_CLOCKS, min_elapsed
 from vanillawell.exceptions import StoreError
 from vanillawell.protocol.machine_calls import MachineDuty
 from vanillawell.protocol.store import Put
@@ -175,7 +175,7 @@
 
     def _since_former(self, now: float) -> float:
         """Return the seconds that have surely passed since the former owner's announcement."""
-        passed = surely_passed(self._former_clocks, self._clocks.at_least(now))
+        passed = min_elapsed(self._former_clocks, self._clocks.lower_bound(now))
         return max(now - self._began, passed)
 
     def is_fresh(self, now: float) -> bool:
@@ -195,7 +195,7 @@
         ages = {name: now - moment for name, moment in self._lately.items()}
         self._pools.update(machines)
         pools = {**self._former_pools, **self._pools}
-        clocks = dict(itertools.islice(self._clocks.at_most(now).items(), REFERENCE_CLOCKS))
+        clocks = dict(itertools.islice(self._clocks.upper_bound(now).items(), REFERENCE_CLOCKS))
         former = self._ages_of_former(now)
         document = {
             "machines": {**former, **ages},
--- a/vanillawell/coordination/policy_follower.py
+++ b/vanillawell/coordination/policy_watch.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from vanillawell import clock
-from vanillawell.coordination.follow import PrefixFollower
+from vanillawell.coordination.prefix_watch import PrefixWatch
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -27,7 +27,7 @@
 """Seconds for which the store may keep changes from those who wait for them."""
 
 
-class PolicyFollower:
+class PolicyWatch:
     """Hold the newest configuration that was seen; versions never go back within a process."""
 
     def __init__(
@@ -40,13 +40,13 @@
         self._keys = keys
         self._read_policy = read_policy
         self._read_wave = read_wave
-        self._follower = PrefixFollower(
+        self._follower = PrefixWatch(
             store, keys.operators, PROOF_WAIT, self._take_listing, self._take_changes
         )
         self._listeners: list[Callable[[], None]] = []
         self.policy: WorkPolicy | None = None
         self.waves: dict[int, Wave] = {}
-        self.waves_seen: dict[int, float] = {}
+        self.waves_first_seen: dict[int, float] = {}
         """Clock of decisions at which each wave was first read of here."""
 
     def on_change(self, listener: Callable[[], None]) -> None:
@@ -93,7 +93,7 @@
                 wave = self._read_wave(value)
                 if wave.number not in self.waves:
                     log.info("upkeep requested", extra={"wave": wave.number})
-                    self.waves_seen[wave.number] = clock.read()
+                    self.waves_first_seen[wave.number] = clock.read()
                 self.waves[wave.number] = wave
         except ValueError as error:
             log.error("unreadable document", extra={"key": key, "reason": str(error)})
--- a/vanillawell/coordination/ports.py
+++ b/vanillawell/coordination/ports.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DocumentReader:
+class DocumentCodec:
     """Read and write the documents that others keep in the store.
 
     Each reader raises ValueError if the bytes are no such document.
@@ -63,4 +63,4 @@
     executors: ExecutorCalls
     machines: MachineCalls
     advice: AdviceCalls | None
-    documents: DocumentReader
+    documents: DocumentCodec
--- a/vanillawell/coordination/follow.py
+++ b/vanillawell/coordination/prefix_watch.py
@@ -46,7 +46,7 @@
     return 0.0
 
 
-class PrefixFollower:
+class PrefixWatch:
     """Read a prefix once, then every change under it.
 
     A waiting call may stay silent for good on a connection that the path has lost track of, so
--- a/vanillawell/coordination/registry.py
+++ b/vanillawell/coordination/registry.py
@@ -9,7 +9,7 @@
 import anyio
 
 from vanillawell import clock
-from vanillawell.coordination.follow import PrefixFollower
+from vanillawell.coordination.prefix_watch import PrefixWatch
 from vanillawell.exceptions import StoreError
 
 if TYPE_CHECKING:
@@ -35,7 +35,7 @@
 one, these writes cost a fleet's owner hundreds of calls a second."""
 
 
-class RegistryFollower:
+class RegistryWatch:
     """Tell a shard what executors say of themselves."""
 
     def __init__(self, ports: Ports, prefix: str, shard: Shard, wake: Callable[[], None]) -> None:
@@ -43,7 +43,7 @@
         self._prefix = prefix
         self._shard = shard
         self._wake = wake
-        self._follower = PrefixFollower(
+        self._follower = PrefixWatch(
             ports.store, prefix, FOLLOW_WAIT, self._take_listing, self._take_changes
         )
         self._listed = anyio.Event()
--- a/vanillawell/coordination/kept_lease.py
+++ b/vanillawell/coordination/renewed_lease.py
@@ -27,7 +27,7 @@
 """Renewals under way at a time; their answers are waited for longer than the lease may last."""
 
 
-class KeptLease:
+class RenewedLease:
     """One lease of the store, and until when it surely holds.
 
     A confirmed renewal counts from its sending, however late its answer comes: the store carried it
--- a/vanillawell/coordination/shard_owner.py
+++ b/vanillawell/coordination/shard_owner.py
@@ -17,16 +17,16 @@
 from vanillawell.coordination.driver_clocks import DriverClocks
 from vanillawell.coordination.executor_driver import ExecutorDriver
 from vanillawell.coordination.executor_link import ExecutorLink
-from vanillawell.coordination.follow import Backoff
-from vanillawell.coordination.former_orders import FormerOrders
 from vanillawell.coordination.hand_over import renew_once, store_last_bounds
 from vanillawell.coordination.inbox import Inbox
-from vanillawell.coordination.lease_keeper import LeaseKeeper
+from vanillawell.coordination.inherited_orders import InheritedOrders
+from vanillawell.coordination.lease_manager import LeaseManager
 from vanillawell.coordination.leases import longest_doubt
 from vanillawell.coordination.loss_watch import LossWatch, tell_unreached
 from vanillawell.coordination.machine_orders import MachineOrders
 from vanillawell.coordination.pool_runner import PoolRunner
-from vanillawell.coordination.registry import RegistryFollower
+from vanillawell.coordination.prefix_watch import Backoff
+from vanillawell.coordination.registry import RegistryWatch
 from vanillawell.coordination.stop_sender import StopSender
 from vanillawell.coordination.turn_batch import TurnBatch
 from vanillawell.coordination.upkeep_runner import UpkeepRunner
@@ -42,7 +42,7 @@
     from anyio.abc import TaskGroup
 
     from vanillawell.config.node_settings import NodeSettings
-    from vanillawell.coordination.policy_follower import PolicyFollower
+    from vanillawell.coordination.policy_watch import PolicyWatch
     from vanillawell.coordination.ports import Ports
     from vanillawell.coordination.term import Term
     from vanillawell.protocol.store import Listing
@@ -71,7 +71,7 @@
         ports: Ports,
         keys: WorkKeys,
         settings: NodeSettings,
-        policies: PolicyFollower,
+        policies: PolicyWatch,
         telemetry: WorkTelemetry,
     ) -> None:
         self._name = name
@@ -86,7 +86,7 @@
         self._drivers: dict[str, ExecutorDriver] = {}
         self._clocks = DriverClocks(self._drivers)
         self._stops = StopSender(self._shard, term, self._drivers)
-        self._leases = LeaseKeeper(
+        self._leases = LeaseManager(
             keys.lease_bounds(name),
             term.token,
             term.former_bounds,
@@ -98,7 +98,7 @@
         self._published: dict[str, int] | None = None
         self._stored_queues: dict[str, Queue] = {}
         self._inbox = Inbox(ports.store, keys, self._shard, self.wake)
-        self._former_orders = FormerOrders(self._shard, self.wake)
+        self._former_orders = InheritedOrders(self._shard, self.wake)
         self.loaded = False
         """Whether all jobs of former terms have been read."""
 
@@ -156,7 +156,7 @@
     def _start_tasks(self, tasks: TaskGroup) -> None:
         tasks.start_soon(tell_unreached, self._shard, self._term.token)
         tasks.start_soon(loop_lag.watch, "owner")
-        registry = RegistryFollower(
+        registry = RegistryWatch(
             self._ports, self._ports.documents.keys.executors, self._shard, self.wake
         )
         orders = MachineOrders(
--- a/vanillawell/coordination/store_doubt.py
+++ b/vanillawell/coordination/store_health.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(slots=True)
-class StoreDoubt:
+class StoreHealth:
     """What is known of the store by the latest calls to it.
 
     Times are those of the clock of decisions.
--- a/vanillawell/coordination/term.py
+++ b/vanillawell/coordination/term.py
@@ -10,7 +10,7 @@
 import anyio
 
 from vanillawell import clock
-from vanillawell.coordination.follow import Backoff
+from vanillawell.coordination.prefix_watch import Backoff
 from vanillawell.exceptions import StoreOutcomeUnknownError, StoreUnavailableError
 from vanillawell.protocol.lease_bounds import LeaseBounds
 from vanillawell.protocol.store import Compare, Put, Transaction
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
 
-    from vanillawell.coordination.kept_lease import KeptLease
+    from vanillawell.coordination.renewed_lease import RenewedLease
     from vanillawell.protocol.store import FollowedStore
 
 log = logging.getLogger(__name__)
@@ -44,7 +44,7 @@
         key: str,
         document: TermDocument,
         revision: int,
-        lease: KeptLease,
+        lease: RenewedLease,
         former_bounds: LeaseBounds,
     ) -> None:
         self._store = store
--- a/vanillawell/coordination/upkeep_runner.py
+++ b/vanillawell/coordination/upkeep_runner.py
@@ -34,7 +34,7 @@
     from vanillawell.config.node_settings import NodeSettings
     from vanillawell.coordination.leases import ExecutorClocks
     from vanillawell.coordination.machine_orders import MachineOrders
-    from vanillawell.coordination.policy_follower import PolicyFollower
+    from vanillawell.coordination.policy_watch import PolicyWatch
     from vanillawell.coordination.ports import Ports
     from vanillawell.coordination.term import Term
     from vanillawell.protocol.machine_calls import Machine
@@ -69,7 +69,7 @@
         ports: Ports,
         keys: WorkKeys,
         settings: NodeSettings,
-        policies: PolicyFollower,
+        policies: PolicyWatch,
         orders: MachineOrders,
         wake: Callable[[], None],
         clocks: ExecutorClocks,
@@ -122,7 +122,9 @@
         for progress in active:
             self._count(progress)
             await self._advance(progress)
-            if not self._ages[progress.wave.number].clocks and self._clocks.at_most(clock.read()):
+            if not self._ages[progress.wave.number].clocks and self._clocks.upper_bound(
+                clock.read()
+            ):
                 await self._save(progress)  # so that a successor can tell how long ago this was
         return True
 
@@ -140,7 +142,7 @@
     async def _open(self, wave: Wave) -> WaveProgress:
         """Read how far a wave came under former owners."""
         found = await self._ports.store.get(self._keys.wave(wave.number))
-        progress = WaveProgress(wave, self._policies.waves_seen[wave.number])
+        progress = WaveProgress(wave, self._policies.waves_first_seen[wave.number])
         self._ages[wave.number] = WaveAge()
         if found is None:
             await self._save(progress)
@@ -155,7 +157,7 @@
             # Begun anew: an upkeep that was done is not done again, and answered as if it were.
             fields = {"wave": wave.number, "why": repr(error)}
             log.error("wave's progress unreadable", extra=fields)
-            progress = WaveProgress(wave, self._policies.waves_seen[wave.number])
+            progress = WaveProgress(wave, self._policies.waves_first_seen[wave.number])
         self._listed = 0.0
         await self._list()
         progress.away = {
--- a/vanillawell/coordination/wave_age.py
+++ b/vanillawell/coordination/wave_age.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Any
 
-from vanillawell.coordination.leases import REFERENCE_CLOCKS, surely_passed
+from vanillawell.coordination.leases import REFERENCE_CLOCKS, min_elapsed
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -36,7 +36,7 @@
 
         It may become earlier with each call, as more clocks are read.
         """
-        return now - self.seconds - surely_passed(self.clocks, clocks.at_least(now))
+        return now - self.seconds - min_elapsed(self.clocks, clocks.lower_bound(now))
 
     def later(self, seen: float, clocks: ExecutorClocks, now: float) -> WaveAge:
         """Return the present statement of an owner that counts the wave from `seen`.
@@ -44,7 +44,7 @@
         An owner that has read no clock yet can't tell more than its predecessor, unless that had
         read none either.
         """
-        present = dict(itertools.islice(clocks.at_most(now).items(), REFERENCE_CLOCKS))
+        present = dict(itertools.islice(clocks.upper_bound(now).items(), REFERENCE_CLOCKS))
         return WaveAge(now - seen, present) if present or not self.clocks else self
 
     def to_document(self) -> dict[str, Any]:
--- a/vanillawell/node.py
+++ b/vanillawell/node.py
@@ -11,10 +11,10 @@
 from vanillawell.coordination.candidate import Candidate
 from vanillawell.coordination.challenger import Challenger
 from vanillawell.coordination.executor_link import DeposedError
-from vanillawell.coordination.policy_follower import PolicyFollower
+from vanillawell.coordination.job_service import JobService
+from vanillawell.coordination.policy_watch import PolicyWatch
 from vanillawell.coordination.shard_owner import ShardOwner
 from vanillawell.coordination.term import Term, TermLostError
-from vanillawell.coordination.work_desk import WorkDesk
 from vanillawell.exceptions import StoreError
 from vanillawell.protocol.work_documents import WorkKeys
 from vanillawell.work_telemetry import WorkTelemetry
@@ -61,12 +61,12 @@
         self._ports = ports
         self._keys = WorkKeys()
         self.telemetry = WorkTelemetry()
-        self._policies = PolicyFollower(
+        self._policies = PolicyWatch(
             ports.store, ports.documents.keys, ports.documents.policy, ports.documents.wave
         )
         bounds = settings.bounds
         revoke_bound = bounds.revoke_ms / 1000 if bounds.strict_revoke else None
-        self.desk = WorkDesk(ports.store, self._keys, SHARD, self._policies, revoke_bound)
+        self.job_service = JobService(ports.store, self._keys, SHARD, self._policies, revoke_bound)
         self._candidate = Candidate(
             ports.store, self._keys, SHARD, settings.instance, settings.capacity
         )
@@ -163,7 +163,7 @@
             log.exception("shard dropped", extra={"shard": SHARD, "token": term.token})
 
     @property
-    def stop_lasts(self) -> float:
+    def stop_duration(self) -> float:
         """Return the seconds between the request to stop and the end of the process."""
         return STOP_NOTICE + self._settings.bounds.grace_s / 4
 
@@ -180,7 +180,7 @@
         term, owner = self._term, self._owner
         if term is None or owner is None:
             return
-        if not await self._hand_on(term, owner, self.stop_lasts - LAST_MOMENTS):
+        if not await self._hand_on(term, owner, self.stop_duration - LAST_MOMENTS):
             await self._leave(term, owner)
 
     async def _hand_on(self, term: Term, owner: ShardOwner, bound: float) -> bool:
--- a/vanillawell/platform/callers.py
+++ b/vanillawell/platform/callers.py
@@ -9,7 +9,7 @@
 import orjson
 
 from vanillawell import clock
-from vanillawell.coordination.work_desk import LONGEST_CALL, Access, WorkDesk
+from vanillawell.coordination.job_service import DEFAULT_CALL_TIMEOUT, Access, JobService
 from vanillawell.platform.documents import (
     JOB_ID,
     UnreadableDocumentError,
@@ -37,8 +37,8 @@
 class CallerApp:
     """The ASGI application that callers' requests reach."""
 
-    def __init__(self, desk: WorkDesk, telemetry: WorkTelemetry) -> None:
-        self._desk = desk
+    def __init__(self, job_service: JobService, telemetry: WorkTelemetry) -> None:
+        self._job_service = job_service
         self._telemetry = telemetry
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
@@ -48,7 +48,7 @@
         host = headers.get(b"host", b"").decode("latin-1").partition(":")[0].lower()
         path = scope["path"]
         key = headers.get(b"x-key", b"").decode("latin-1").strip()
-        access = self._desk.admit(host, path, key_digest(key) if key else None, began)
+        access = self._job_service.admit(host, path, key_digest(key) if key else None, began)
         try:
             if isinstance(access, Refusal):
                 answer: Refusal | dict[str, object] = access
@@ -70,29 +70,29 @@
         if method == "POST":
             return await self._submit(receive, access, name, time_left)
         if method == "GET":
-            state = await self._desk.show(name)
+            state = await self._job_service.show(name)
             return {"state": state.value} if isinstance(state, JobState) else state
         if method == "DELETE":
-            return await self._desk.cancel(name, time_left) or {}
+            return await self._job_service.cancel(name, time_left) or {}
         return _refuse(Reason.MALFORMED)
 
     async def _count(self, method: str, access: Access) -> Refusal | dict[str, object]:
         if method != "GET":
             return _refuse(Reason.MALFORMED)
-        count = await self._desk.pending(access.queue)
+        count = await self._job_service.pending(access.queue)
         return count if isinstance(count, Refusal) else {"pending": count}
 
     async def _submit(
         self, receive: Receive, access: Access, job_id: str, time_left: float
     ) -> Refusal | dict[str, object]:
         try:
-            body = await read_body(receive, self._desk.body_bound())
+            body = await read_body(receive, self._job_service.body_bound())
             job = read_job_body(body, job_id, access.queue.name, access.organisation, time.time())
         except BodyTooLargeError:
             return _refuse(Reason.TOO_LARGE)
         except UnreadableDocumentError as error:
             return Refusal(Reason.MALFORMED, Verdict.NOT_RUN, str(error))
-        return await self._desk.submit(job, time_left) or {}
+        return await self._job_service.submit(job, time_left) or {}
 
     async def _send(
         self,
@@ -113,7 +113,7 @@
                     "operation": method,
                     "reason": answer.reason.slug,
                     "retry_after": answer.retry_after,
-                    **self._desk.basis(began),
+                    **self._job_service.basis(began),
                 },
             )
             await send_bytes(send, status, answer.body(), answer.headers())
@@ -124,13 +124,13 @@
 class ReadyApp:
     """Tell the balancer whether to send callers here."""
 
-    def __init__(self, desk: WorkDesk) -> None:
-        self._desk = desk
+    def __init__(self, job_service: JobService) -> None:
+        self._job_service = job_service
         self.stopping = False
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Answer 200 or 503."""
-        ready = not self.stopping and self._desk.is_ready(clock.read())
+        ready = not self.stopping and self._job_service.is_ready(clock.read())
         await send_bytes(send, 200 if ready else 503, orjson.dumps({"ready": ready}))
 
 
@@ -139,7 +139,7 @@
     try:
         return float(headers[b"x-deadline-ms"]) / 1000
     except (KeyError, ValueError):
-        return LONGEST_CALL
+        return DEFAULT_CALL_TIMEOUT
 
 
 def _refuse(reason: Reason) -> Refusal:
--- a/vanillawell/platform/process.py
+++ b/vanillawell/platform/process.py
@@ -13,7 +13,7 @@
 from vanillawell import logs, signals
 from vanillawell.config.loader import load_model
 from vanillawell.config.node_settings import NodeSettings
-from vanillawell.coordination.ports import DocumentReader, Ports
+from vanillawell.coordination.ports import DocumentCodec, Ports
 from vanillawell.node import STOP_NOTICE, Node
 from vanillawell.platform import documents
 from vanillawell.platform.callers import CallerApp, ReadyApp
@@ -59,7 +59,7 @@
         executors=PlatformExecutors(http),
         machines=PlatformMachines(http, settings.machines),
         advice=PlatformAdvice(http, settings.advice) if settings.advice else None,
-        documents=DocumentReader(
+        documents=DocumentCodec(
             policy=documents.read_config,
             wave=documents.read_wave,
             executor=documents.read_executor,
@@ -80,9 +80,9 @@
     """Serve until a planned stop."""
     http = HttpClient()
     node = Node(settings, build_ports(settings, http))
-    ready = ReadyApp(node.desk)
+    ready = ReadyApp(node.job_service)
     apps = {
-        "caller": (CallerApp(node.desk, node.telemetry), settings.caller),
+        "caller": (CallerApp(node.job_service, node.telemetry), settings.caller),
         "ready": (ready, settings.ready),
         "metrics": (MetricsApp(node.telemetry.registry, node.refresh_telemetry), settings.metrics),
     }
@@ -101,7 +101,7 @@
         await anyio.sleep(STOP_NOTICE)
         for item in listening:
             item.server.should_exit = True
-        await anyio.sleep(node.stop_lasts - STOP_NOTICE)
+        await anyio.sleep(node.stop_duration - STOP_NOTICE)
         log.info("stopped", extra={"instance": settings.instance})
         tasks.cancel_scope.cancel()
 
--- a/vanillawell/tests/advice_desk_tests.py
+++ b/vanillawell/tests/advice_desk_tests.py
@@ -119,9 +119,9 @@
     """Start a lasting task of a queue that needs advice, and wait until its tickets are old."""
     lasting = body_of_job(step_in_body(longRunning=True, **fields), spec={"seconds": 99})
     await built.members[0].call("POST", HINTED_PREFIX + built.new_id(), lasting)
-    await until(lambda: bool(built.hosts["i-0"].life.running))
+    await until(lambda: bool(built.hosts["i-0"].executor.running))
     await built.add_executor("i-1")
-    await until(lambda: built.hosts["i-1"].life.holds > 0)
+    await until(lambda: built.hosts["i-1"].executor.holds > 0)
     await anyio.sleep(RULE.validity)
 
 
@@ -131,7 +131,7 @@
     only, it would go beyond what its step lets be away, and find no time to go elsewhere."""
     await _lasting(built, maxUnavailable=1)
     built.drain("i-0", NOTICE)
-    await until(lambda: bool(built.hosts["i-1"].life.running), IN_TIME)
+    await until(lambda: bool(built.hosts["i-1"].executor.running), IN_TIME)
     built.leave("i-0")
 
 
@@ -143,7 +143,7 @@
     await _lasting(built)
     built.drain("i-0", NOTICE)
     await anyio.sleep(IN_TIME)
-    assert built.hosts["i-0"].life.running
+    assert built.hosts["i-0"].executor.running
     built.leave("i-0")
 
 
@@ -155,5 +155,5 @@
     machine = built.machines.machines[built.hosts["i-0"].machine]
     wave = {"wave": 1, "machines": [machine.name], "durationS": 60, "maximum": 1}
     built.store.put_document("op/wave/1", wave)
-    await until(lambda: bool(built.hosts["i-1"].life.running), SHORT_TASK_TIMEOUT / 2)
+    await until(lambda: bool(built.hosts["i-1"].executor.running), SHORT_TASK_TIMEOUT / 2)
     await until(lambda: machine.upkeeps == 1, SHORT_TASK_TIMEOUT / 2)
--- a/vanillawell/tests/draining_tests.py
+++ b/vanillawell/tests/draining_tests.py
@@ -29,12 +29,12 @@
     """Hand in a lasting job and wait until all its tasks run."""
     lasting = step(2, longRunning=True, **fields)
     await built.members[0].call("POST", PREFIX + built.new_id(), job(lasting, spec={"seconds": 99}))
-    await until(lambda: sum(len(life.running) for life in built.lives) == 2)
+    await until(lambda: sum(len(executor.running) for executor in built.executors) == 2)
 
 
 async def _known(built: Cluster, name: str) -> None:
     """Wait until the owner has reached an executor, so that tasks can be placed there."""
-    await until(lambda: built.hosts[name].life.holds > 0)
+    await until(lambda: built.hosts[name].executor.holds > 0)
 
 
 @with_cluster(executors=1)
@@ -45,7 +45,7 @@
     await _lasting(built, maxUnavailable=1)
     await built.add_executor("i-1")
     await _known(built, "i-1")
-    leaving, other = built.hosts["i-0"].life, built.hosts["i-1"].life
+    leaving, other = built.hosts["i-0"].executor, built.hosts["i-1"].executor
     built.drain("i-0", NOTICE)
     fewest = 2
     with anyio.fail_after(NOTICE - 0.5):
@@ -64,7 +64,7 @@
     await built.add_executor("i-1")
     await _known(built, "i-1")
     built.drain("i-0", SHORT_NOTICE)
-    await until(lambda: len(built.hosts["i-1"].life.running) == 2, SHORT_NOTICE)
+    await until(lambda: len(built.hosts["i-1"].executor.running) == 2, SHORT_NOTICE)
     built.leave("i-0")
 
 
@@ -73,14 +73,14 @@
     """No other executor has a place. The tasks work on while time remains, and are stopped before
     their executor leaves: as soon as there is room they can begin, without a wait for a lease."""
     await _lasting(built)
-    leaving = built.hosts["i-0"].life
+    leaving = built.hosts["i-0"].executor
     built.drain("i-0", 2.0)
     await anyio.sleep(0.9)
     assert len(leaving.running) == 2
     await until(lambda: not leaving.running, 1.1)
     built.leave("i-0")
     await built.add_executor("i-1")
-    await until(lambda: len(built.hosts["i-1"].life.running) == 2, 1.0)
+    await until(lambda: len(built.hosts["i-1"].executor.running) == 2, 1.0)
 
 
 @with_cluster(executors=1)
@@ -92,13 +92,13 @@
     member, job_id = built.members[0], built.new_id()
     saving = job(step(1, savesProgress=True), spec={"seconds": 4.0, "saves": True})
     await member.call("POST", PREFIX + job_id, saving)
-    leaving = built.hosts["i-0"].life
+    leaving = built.hosts["i-0"].executor
     await until(lambda: bool(leaving.running))
     await built.add_executor("i-1")
     await _known(built, "i-1")
     await anyio.sleep(0.5)
     built.drain("i-0", 1.5)
-    await until(lambda: bool(built.hosts["i-1"].life.running), 1.5)
+    await until(lambda: bool(built.hosts["i-1"].executor.running), 1.5)
     built.leave("i-0")
     assert int(built.audit.resumed[f"{job_id}.0.0.0"]) > 0
     await until_state(member, job_id, "completed", 4.0)
@@ -117,7 +117,7 @@
         await owner.node.hand_over()
         await built.kill(owner)
         await anyio.sleep(0.1)
-    await until(lambda: len(built.hosts["i-1"].life.running) == 2, NOTICE - 0.5)
+    await until(lambda: len(built.hosts["i-1"].executor.running) == 2, NOTICE - 0.5)
     built.leave("i-0")
 
 
@@ -130,7 +130,7 @@
     await _lasting(built)
     await built.add_executor("i-1")
     await _known(built, "i-1")
-    leaving, other = built.hosts["i-0"].life, built.hosts["i-1"].life
+    leaving, other = built.hosts["i-0"].executor, built.hosts["i-1"].executor
     built.store.faults.refuse = True
     await anyio.sleep(1.3)
     built.drain("i-0", NOTICE)
@@ -148,7 +148,7 @@
     await _lasting(built)
     await built.add_executor("i-1")
     await _known(built, "i-1")
-    owner, leaving = await built.owner(), built.hosts["i-0"].life
+    owner, leaving = await built.owner(), built.hosts["i-0"].executor
     owner.store.answer_time = 2.5
     async with anyio.create_task_group() as callers:
         callers.start_soon(owner.call, "POST", PREFIX + built.new_id(), job())
--- a/vanillawell/tests/driver_clocks_tests.py
+++ b/vanillawell/tests/driver_clocks_tests.py
@@ -9,7 +9,7 @@
 from vanillawell.coordination.driver_clocks import DriverClocks
 from vanillawell.coordination.leases import REFERENCE_CLOCKS, ExecutorClock
 from vanillawell.state.availability import has_long_running
-from vanillawell.tests.lease_keeper_tests import busy_executor
+from vanillawell.tests.lease_manager_tests import busy_executor
 from vanillawell.tests.scheduling_builders import ShardHarness, facts
 
 if TYPE_CHECKING:
@@ -31,7 +31,7 @@
 
     def read(self, now: float) -> None:
         """Read the clock, which shows the time since 90."""
-        self.clock.note(now - 90.0, now, now)
+        self.clock.add_reading(now - 90.0, now, now)
 
 
 def test_the_clocks_of_silent_executors_are_not_left_before_those_of_sound_ones() -> None:
@@ -47,5 +47,5 @@
     sound = Reader(harness.register(facts("i-sound")))
     sound.read(harness.now + 1.0)
     readers = {item.executor.name: item for item in (*lost, sound)}
-    clocks = DriverClocks(cast("dict[str, ExecutorDriver]", readers)).at_most(harness.now + 1.0)
+    clocks = DriverClocks(cast("dict[str, ExecutorDriver]", readers)).upper_bound(harness.now + 1.0)
     assert "i-sound@1" in itertools.islice(clocks, REFERENCE_CLOCKS)
--- a/vanillawell/tests/dropped_queue_tests.py
+++ b/vanillawell/tests/dropped_queue_tests.py
@@ -23,7 +23,7 @@
 
 def _is_applied_everywhere(built: Cluster, version: int) -> bool:
     now = clock.read()
-    return all(m.node.desk.basis(now)["configuration"] == version for m in built.members)
+    return all(m.node.job_service.basis(now)["configuration"] == version for m in built.members)
 
 
 @with_cluster(members=2, executors=1)
--- a/vanillawell/tests/handover_doubt_tests.py
+++ b/vanillawell/tests/handover_outcome_tests.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from vanillawell.coordination.lease_keeper import ROUNDING
+from vanillawell.coordination.lease_manager import STORED_BOUND_MARGIN
 from vanillawell.coordination.leases import CLOCK_DRIFT, ExecutorClock
 from vanillawell.exceptions import StoreOutcomeUnknownError
 from vanillawell.platform.http import HttpClient
@@ -16,7 +16,7 @@
 from vanillawell.protocol.store import Put
 from vanillawell.protocol.work_documents import WorkKeys
 from vanillawell.standins.scheduler.store import StandInStore
-from vanillawell.tests.lease_keeper_tests import Owner, bounds, unreached
+from vanillawell.tests.lease_manager_tests import Owner, bounds, unreached
 from vanillawell.tests.scheduler_cluster import (
     PREFIX,
     Cluster,
@@ -84,7 +84,7 @@
     await built.owner()
     await anyio.sleep(4.0)
     assert built.audit.started[task] == 1
-    assert any(task in life.running for life in built.lives)
+    assert any(task in executor.running for executor in built.executors)
 
 
 def test_answers_that_came_late_do_not_shorten_a_stored_bound() -> None:
@@ -92,10 +92,10 @@
     stores them as those of now; its successor must not count that second as passed once more."""
     frozen, left = 1.2, 4.0
     reading = ExecutorClock()
-    reading.note(100.0, sent=10.0, now=10.0)
+    reading.add_reading(100.0, sent=10.0, now=10.0)
     # answered during the freeze, read after it
-    reading.note(100.0 + 0.5, sent=10.0, now=10.0 + 0.5 + frozen)
-    stored = reading.at_most(10.0 + 0.5 + frozen)
+    reading.add_reading(100.0 + 0.5, sent=10.0, now=10.0 + 0.5 + frozen)
+    stored = reading.upper_bound(10.0 + 0.5 + frozen)
     harness = ShardHarness()
     passed = 2.0
     shown = {"i-2@1": 100.0 + 0.5 + frozen + passed}
@@ -103,7 +103,7 @@
     executor = unreached(harness, owner, "i-1")
     owner.keeper.count_time_passed([executor], harness.now)
     assert executor.lease_expires_at >= harness.now + left - passed - 1e-9
-    assert frozen > ROUNDING, "the margin does not cover it"
+    assert frozen > STORED_BOUND_MARGIN, "the margin does not cover it"
 
 
 @given(st.lists(st.tuples(st.floats(0, 3), st.floats(0, 3), st.floats(0, 3)), min_size=1))
@@ -116,10 +116,10 @@
     for there, back, pause in calls:
         sent, made = now, now + there
         now = made + back
-        estimate.note(_slow_clock(made), sent, now)
+        estimate.add_reading(_slow_clock(made), sent, now)
         now += pause
-        assert estimate.at_least(now) <= _slow_clock(now) + 1e-6
-        assert estimate.at_most(now) >= _slow_clock(now) - 1e-6
+        assert estimate.lower_bound(now) <= _slow_clock(now) + 1e-6
+        assert estimate.upper_bound(now) >= _slow_clock(now) - 1e-6
 
 
 def _slow_clock(now: float) -> float:
@@ -146,10 +146,10 @@
     await owner.call("POST", PREFIX + lasting, body)
     task = f"{lasting}.0.0.0"
     await until(lambda: task in built.audit.started)
-    life = built.hosts["i-0"].life
-    life.faults.silent = True
+    executor = built.hosts["i-0"].executor
+    executor.faults.silent = True
     await anyio.sleep(OUTAGE + NOTICED)
-    life.faults.silent = False
+    executor.faults.silent = False
     await owner.call("POST", PREFIX + later, job())
     await until_state(owner, later, "completed", 5)
 
@@ -211,11 +211,11 @@
     owner.store.inner = cast("Any", AnswerLostThenAway(owner))
     built.tasks.start_soon(owner.node.hand_over)
     await anyio.sleep(1.0)
-    life = built.hosts["i-0"].life
-    before = life._lease_end
+    executor = built.hosts["i-0"].executor
+    before = executor._lease_end
     await anyio.sleep(1.5)
     assert owner.store.cut, "the bounds were written"
-    assert life._lease_end == before
+    assert executor._lease_end == before
 
 
 @with_cluster(executors=2)
@@ -227,7 +227,7 @@
         body = job(spec={"seconds": 1.0 + 0.05 * number})
         await owner.call("POST", PREFIX + built.new_id(), body)
     await until(lambda: len(built.audit.started) == 12)
-    await until(lambda: sum(len(life.running) for life in built.lives) < 12)
+    await until(lambda: sum(len(executor.running) for executor in built.executors) < 12)
     await owner.node.hand_over()
     key = WorkKeys().term("all")
     before = built.store.items[key].revision
--- a/vanillawell/tests/lease_keeper_tests.py
+++ b/vanillawell/tests/lease_manager_tests.py
@@ -8,7 +8,7 @@
 import orjson
 import pytest
 
-from vanillawell.coordination.lease_keeper import CONTACT_BOUND, ROUNDING, LeaseKeeper
+from vanillawell.coordination.lease_manager import CONTACT_BOUND, STORED_BOUND_MARGIN, LeaseManager
 from vanillawell.protocol.lease_bounds import ExecutorBound, LeaseBounds
 from vanillawell.tests.scheduling_builders import FixedClocks, ShardHarness, facts, job, step
 
@@ -35,7 +35,7 @@
 
     def __post_init__(self) -> None:
         clocks = FixedClocks(self.clocks)
-        self.keeper = LeaseKeeper(KEY, 2, self.former, LONGEST_DOUBT, clocks)
+        self.keeper = LeaseManager(KEY, 2, self.former, LONGEST_DOUBT, clocks)
         self.keeper.begin(ShardHarness().now)
 
     def save(
@@ -95,10 +95,10 @@
     harness = ShardHarness()
     owner = Owner(bounds({"i-1": 4.0}, {"i-2@1": 50.0, "i-3@1": 70.0}))
     executor = unreached(harness, owner, "i-1")
-    assert executor.lease_expires_at == pytest.approx(harness.now + 4.0 + ROUNDING)
+    assert executor.lease_expires_at == pytest.approx(harness.now + 4.0 + STORED_BOUND_MARGIN)
     owner.clocks.update({"i-2@1": 53.0, "i-3@1": 72.5, "i-4@1": 999.0})
     owner.keeper.count_time_passed([executor], harness.now)
-    assert executor.lease_expires_at == pytest.approx(harness.now + 1.5 + ROUNDING)
+    assert executor.lease_expires_at == pytest.approx(harness.now + 1.5 + STORED_BOUND_MARGIN)
 
 
 @pytest.mark.parametrize("clocks", [{}, {"i-2@2": 90.0}])
@@ -107,7 +107,7 @@
     harness, owner = ShardHarness(), Owner(bounds({"i-1": 4.0}, {"i-2@1": 50.0}), clocks)
     executor = unreached(harness, owner, "i-1")
     owner.keeper.count_time_passed([executor], harness.now + 1.0)
-    assert executor.lease_expires_at == pytest.approx(harness.now + 4.0 + ROUNDING)
+    assert executor.lease_expires_at == pytest.approx(harness.now + 4.0 + STORED_BOUND_MARGIN)
 
 
 def test_an_executor_that_was_reached_meanwhile_is_not_given_up_by_an_old_bound() -> None:
@@ -135,7 +135,7 @@
     assert not owner.keeper.may_extend("i-1")
     assert not owner.save([executor], harness.now, due=True), "its last word stays"
     bound = Owner(owner.stored).keeper.recalled_bound("i-1", harness.now)
-    assert bound.lease_expires_at == pytest.approx(harness.now + 4 + ROUNDING)
+    assert bound.lease_expires_at == pytest.approx(harness.now + 4 + STORED_BOUND_MARGIN)
 
 
 def test_a_successor_renews_what_is_sound_without_waiting_for_the_store() -> None:
@@ -163,7 +163,7 @@
     assert successor.keeper.may_extend("i-1")
     assert not successor.keeper.may_extend("i-2")
     bound = successor.keeper.recalled_bound("i-2", harness.now)
-    assert bound.lease_expires_at == pytest.approx(harness.now + 4 + ROUNDING)
+    assert bound.lease_expires_at == pytest.approx(harness.now + 4 + STORED_BOUND_MARGIN)
 
 
 def test_executors_get_a_moment_to_report_to_a_new_owner_before_they_are_named() -> None:
@@ -210,7 +210,7 @@
     """It knows of no executor and has extended no lease. A document without any would make the
     wait for silent executors begin anew with its successor."""
     found = LeaseBounds(1, {"i-1": ExecutorBound(4.0, 9.0)}, {"i-2": ExecutorBound(3.0, 9.0)})
-    keeper = LeaseKeeper(KEY, 2, found, LONGEST_DOUBT, FixedClocks({}))
+    keeper = LeaseManager(KEY, 2, found, LONGEST_DOUBT, FixedClocks({}))
     assert keeper.draft([], 100.0) is None
     put = keeper.draft([], 100.0, last=True)
     assert put is not None
@@ -276,7 +276,7 @@
     after = Owner(owner.stored, {"i-2@1": 53.0})
     executor = unreached(harness, after, "i-1")
     after.keeper.count_time_passed([executor], harness.now)
-    assert executor.lease_expires_at <= harness.now + 4.0 - 3.0 + 3 * ROUNDING
+    assert executor.lease_expires_at <= harness.now + 4.0 - 3.0 + 3 * STORED_BOUND_MARGIN
 
 
 def test_bounds_that_pass_through_many_owners_do_not_grow() -> None:
@@ -289,7 +289,7 @@
         owner.keeper.count_time_passed([executor], harness.now)
         assert owner.save([executor], harness.now, last=True)
         stored = owner.stored
-    assert stored.silent["i-1"].left <= 4.0 + 2 * ROUNDING
+    assert stored.silent["i-1"].left <= 4.0 + 2 * STORED_BOUND_MARGIN
 
 
 def test_bounds_do_not_grow_with_owners_that_other_executors_report_to() -> None:
@@ -303,4 +303,4 @@
         assert owner.save([silent, sound], harness.now, last=True)
         left = owner.stored.silent.get("i-1") or owner.stored.handed_over["i-1"]
         stored = LeaseBounds(2, {"i-1": left}, {}, {"i-2@1": 50.0})
-    assert 4.0 <= stored.silent["i-1"].left <= 4.0 + 2 * ROUNDING
+    assert 4.0 <= stored.silent["i-1"].left <= 4.0 + 2 * STORED_BOUND_MARGIN
--- a/vanillawell/tests/owner_memory_tests.py
+++ b/vanillawell/tests/owner_memory_tests.py
@@ -11,16 +11,16 @@
 from vanillawell.state.ledger import InheritedLeaseBound
 from vanillawell.state.shard import Shard
 from vanillawell.state.work import Ending, JobState
-from vanillawell.tests.owner_series_tests import (
+from vanillawell.tests.scheduler_cluster import PREFIX, Cluster, until, with_cluster
+from vanillawell.tests.scheduler_cluster import job as body_of_job
+from vanillawell.tests.scheduler_cluster import step as step_in_body
+from vanillawell.tests.scheduling_builders import ShardHarness, facts, job, step
+from vanillawell.tests.successive_owners_tests import (
     LONGEST_ABSENCE,
     kill,
     silence_an_executor,
     stop,
 )
-from vanillawell.tests.scheduler_cluster import PREFIX, Cluster, until, with_cluster
-from vanillawell.tests.scheduler_cluster import job as body_of_job
-from vanillawell.tests.scheduler_cluster import step as step_in_body
-from vanillawell.tests.scheduling_builders import ShardHarness, facts, job, step
 
 WAVE = 4.0
 """Seconds in which each machine of a wave is to have its upkeep."""
@@ -99,10 +99,10 @@
     """A machine goes down, the owner is killed before it notices, and all others are stopped in
     turn. Each of them knows the executor for less time than the list of machines may be behind."""
     task = await silence_an_executor(built)
-    name = next(host.life.name for host in built.hosts.values() if host.life.faults.silent)
+    name = next(host.executor.name for host in built.hosts.values() if host.executor.faults.silent)
     machine = built.machines.machines[built.hosts[name].machine]
     machine.state, machine.executor = "down", ""
-    built.hosts[name].life.crash()
+    built.hosts[name].executor.crash()
     async with anyio.create_task_group() as others:
         others.start_soon(stop_in_turn, built)
         await until(lambda: built.audit.started[task] == 2, LONGEST_ABSENCE)
@@ -174,10 +174,10 @@
 async def _replace_a_silent_executor(built: Cluster, name: str) -> None:
     """Let another executor live on the machine of the silent one, while the list of machines shows
     none."""
-    host = next(host for host in built.hosts.values() if host.life.faults.silent)
-    host.life.leave()
+    host = next(host for host in built.hosts.values() if host.executor.faults.silent)
+    host.executor.leave()
     built.machines.machines.clear()
-    await built.add_executor(name, machine=host.machine, born=host.life.born + 5_000)
+    await built.add_executor(name, machine=host.machine, born=host.executor.born + 5_000)
 
 
 @with_cluster(members=2, executors=2)
--- a/vanillawell/tests/pool_runner_tests.py
+++ b/vanillawell/tests/pool_runner_tests.py
@@ -7,7 +7,6 @@
 from vanillawell.node import SHARD
 from vanillawell.protocol.work_documents import WorkKeys
 from vanillawell.standins.scheduler.machines import StandInMachine
-from vanillawell.tests.owner_series_tests import LONGEST_ABSENCE, stop
 from vanillawell.tests.scheduler_cluster import (
     POOL,
     PREFIX,
@@ -19,6 +18,7 @@
     with_cluster,
 )
 from vanillawell.tests.standby_pools import STANDBY, configure_standby, obey_moves
+from vanillawell.tests.successive_owners_tests import LONGEST_ABSENCE, stop
 
 
 @with_cluster(executors=2)
@@ -32,8 +32,8 @@
     await member.call("POST", PREFIX + first, job())
     await until_state(member, first, "completed")
     for host in list(built.hosts.values()):
-        host.life.faults.silent = True
-        built.store.delete(f"servers/{host.life.name}")
+        host.executor.faults.silent = True
+        built.store.delete(f"servers/{host.executor.name}")
         del built.machines.machines[host.machine]
     await until(lambda: built.machines.machines["spare-1"].pool == POOL, 8)
     await member.call("POST", PREFIX + second, job(step(2)))
@@ -51,7 +51,7 @@
     machines = built.machines.machines
 
     async def moved(machine: StandInMachine) -> None:
-        built.hosts[machine.executor].life.faults.silent = True
+        built.hosts[machine.executor].executor.faults.silent = True
 
     built.machines.on_move = moved
     configure_standby(built)
@@ -76,7 +76,7 @@
     await member.call("POST", PREFIX + first, job(step(60), spec={"seconds": 0.8}))
     await until(lambda: any(name.startswith("moved") for name in built.hosts))
     (host,) = [host for name, host in built.hosts.items() if name.startswith("moved")]
-    await until(lambda: bool(host.life.running), 4.0)
+    await until(lambda: bool(host.executor.running), 4.0)
     built.store.faults.deaf = False
 
 
@@ -89,8 +89,8 @@
     built.machines.machines["spare-1"] = StandInMachine("spare-1", STANDBY, "")
     configure_standby(built)
     await member.call("POST", PREFIX + job_id, job(step(10), spec={"seconds": 3}))
-    await until(lambda: all(host.life.running for host in built.hosts.values()))
-    built.lives[0].faults.silent = True
+    await until(lambda: all(host.executor.running for host in built.hosts.values()))
+    built.executors[0].faults.silent = True
     await until(lambda: built.machines.machines["spare-1"].pool == POOL, 2.5)
 
 
@@ -173,7 +173,7 @@
     """Let an executor with a lasting task leave for good while its machine stays up, and keep a
     spare machine in standby; returns the task's name."""
     host = built.hosts["i-0"]
-    (task,) = host.life.running
+    (task,) = host.executor.running
     built.leave("i-0")
     built.machines.machines[host.machine].executor = ""
     return task
@@ -186,7 +186,7 @@
     built.machines.machines["spare-1"] = StandInMachine("spare-1", STANDBY, "")
     configure_standby(built)
     await owner.call("POST", PREFIX + built.new_id(), job(lasting, spec={"seconds": 60}))
-    await until(lambda: sum(len(life.running) for life in built.lives) == 2)
+    await until(lambda: sum(len(executor.running) for executor in built.executors) == 2)
 
 
 @with_cluster(members=2, executors=2)
@@ -260,10 +260,10 @@
     owner, moved_with = await built.owner(), list[str]()
 
     async def moved(machine: StandInMachine) -> None:
-        life = built.hosts[machine.executor].life
-        moved_with.extend(life.running)
+        executor = built.hosts[machine.executor].executor
+        moved_with.extend(executor.running)
         machine.executor = ""
-        life.leave()
+        executor.leave()
 
     built.machines.on_move, built.machines.move_seconds = moved, 0.6
     configure_standby(built)
@@ -295,7 +295,7 @@
     successor, lasting = await built.owner(), step(2, longRunning=True, maxPerServer=1)
     await anyio.sleep(0.3)
     await successor.call("POST", PREFIX + built.new_id(), job(lasting, spec={"seconds": 60}))
-    await until(lambda: bool(built.hosts["i-1"].life.running))
+    await until(lambda: bool(built.hosts["i-1"].executor.running))
 
 
 @with_cluster(members=2, executors=2)
@@ -304,8 +304,8 @@
     is; if it were kept from work for good, or its room counted as lost, its pool would shrink."""
     await _succeed_after_an_announcement(built, STANDBY)
     await anyio.sleep(0.3)
-    assert not built.hosts["i-0"].life.running
-    await until(lambda: bool(built.hosts["i-0"].life.running), 3.0)
+    assert not built.hosts["i-0"].executor.running
+    await until(lambda: bool(built.hosts["i-0"].executor.running), 3.0)
     assert built.machines.moves == []
 
 
@@ -314,4 +314,4 @@
     """A machine arrives in the pool that a former owner sent it to, in the middle of a peak. Kept
     from work until no order can come, each change of owner would cost the pool seconds."""
     await _succeed_after_an_announcement(built, POOL)
-    await until(lambda: bool(built.hosts["i-0"].life.running), 1.0)
+    await until(lambda: bool(built.hosts["i-0"].executor.running), 1.0)
--- a/vanillawell/tests/refused_holds_tests.py
+++ b/vanillawell/tests/refused_holds_tests.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from vanillawell.coordination.leases import LEASE
+from vanillawell.coordination.leases import TASK_LEASE
 from vanillawell.tests.scheduler_cluster import (
     PREFIX,
     Cluster,
@@ -26,7 +26,7 @@
     await owner.call("POST", PREFIX + job_id, body)
     task = f"{job_id}.0.0.0"
     await until(lambda: task in built.audit.started)
-    (life,) = [item for item in built.lives if task in item.running]
-    life.faults.unhealthy = True
-    await until(lambda: task not in life.running, LEASE + KNOWN)
+    (executor,) = [item for item in built.executors if task in item.running]
+    executor.faults.unhealthy = True
+    await until(lambda: task not in executor.running, TASK_LEASE + KNOWN)
     await until(lambda: built.audit.started[task] == 2, KNOWN)
--- a/vanillawell/tests/kept_lease_tests.py
+++ b/vanillawell/tests/renewed_lease_tests.py
@@ -8,7 +8,7 @@
 import anyio
 
 from vanillawell import clock
-from vanillawell.coordination.kept_lease import DOUBT, RENEWALS, RENEWALS_AT_ONCE, KeptLease
+from vanillawell.coordination.renewed_lease import DOUBT, RENEWALS, RENEWALS_AT_ONCE, RenewedLease
 from vanillawell.exceptions import StoreOutcomeUnknownError
 from vanillawell.platform.http import HttpClient
 from vanillawell.platform.store import ANSWER_BOUND, PlatformStore
@@ -48,12 +48,12 @@
             self.under_way -= 1
 
 
-def _keep(store: ScriptedStore, check: Callable[[KeptLease], Awaitable[None]]) -> None:
+def _keep(store: ScriptedStore, check: Callable[[RenewedLease], Awaitable[None]]) -> None:
     """Keep a lease that was granted just now up while `check` runs."""
 
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
-            lease = KeptLease(cast("Any", store), 7, TTL, clock.read())
+            lease = RenewedLease(cast("Any", store), 7, TTL, clock.read())
             tasks.start_soon(lease.keep)
             await check(lease)
             tasks.cancel_scope.cancel()
@@ -66,7 +66,7 @@
     for a second after the store has given it to another entry."""
     store = ScriptedStore(delays=[1.0, NEVER, NEVER, NEVER, NEVER])
 
-    async def check(lease: KeptLease) -> None:
+    async def check(lease: RenewedLease) -> None:
         await anyio.sleep(TTL / RENEWALS + 1.0 + 0.1)
         first = store.sent[0]
         assert lease.is_held(first + TTL - 0.01)
@@ -80,7 +80,7 @@
     store = ScriptedStore(delays=[NEVER] * 9)
     granted = clock.read()
 
-    async def check(lease: KeptLease) -> None:
+    async def check(lease: RenewedLease) -> None:
         await anyio.sleep(TTL + 0.2)
         assert not lease.is_held(clock.read())
         assert 0 < lease.lapsed_for(clock.read()) < clock.read() - granted - TTL + 0.1
@@ -92,7 +92,7 @@
     """Lost answers come in bursts. The next renewal is not held up by those before it."""
     store = ScriptedStore(delays=[NEVER, NEVER])
 
-    async def check(lease: KeptLease) -> None:
+    async def check(lease: RenewedLease) -> None:
         for _ in range(20):
             await anyio.sleep(0.1)
             assert lease.is_held(clock.read())
@@ -104,7 +104,7 @@
     """Answers overtake each other."""
     store = ScriptedStore(delays=[DOUBT + 0.4])
 
-    async def check(lease: KeptLease) -> None:
+    async def check(lease: RenewedLease) -> None:
         await anyio.sleep(TTL / RENEWALS + DOUBT + 0.1)
         assert lease.is_held(store.sent[1] + TTL - 0.01)
         await anyio.sleep(0.4)
@@ -117,7 +117,7 @@
     """Calls are priced, those without an answer too."""
     store = ScriptedStore(delays=[NEVER] * 99)
 
-    async def check(_lease: KeptLease) -> None:
+    async def check(_lease: RenewedLease) -> None:
         await anyio.sleep(TTL / RENEWALS + 2 * ANSWER_BOUND)
 
     _keep(store, check)
@@ -129,7 +129,7 @@
     """Renewals are priced."""
     store = ScriptedStore()
 
-    async def check(_lease: KeptLease) -> None:
+    async def check(_lease: RenewedLease) -> None:
         await anyio.sleep(2 * TTL + 0.2)
 
     _keep(store, check)
@@ -142,7 +142,7 @@
     store = ScriptedStore(alive=False)
 
     async def run() -> None:
-        lease = KeptLease(cast("Any", store), 7, TTL, clock.read())
+        lease = RenewedLease(cast("Any", store), 7, TTL, clock.read())
         with anyio.fail_after(TTL):
             assert await lease.keep() == "the lease has ended"
 
@@ -159,7 +159,7 @@
             stand_in, http = StandInStore(), HttpClient()
             store = PlatformStore(http, listen(tasks, stand_in))
             granted = clock.read()
-            lease = KeptLease(store, await store.grant_lease(TTL), TTL, granted)
+            lease = RenewedLease(store, await store.grant_lease(TTL), TTL, granted)
             async with anyio.create_task_group() as readings:
                 for _ in range(3):
                     readings.start_soon(store.get, "key")
--- a/vanillawell/tests/same_id_tests.py
+++ b/vanillawell/tests/same_id_tests.py
@@ -8,7 +8,7 @@
 
 import anyio
 
-from vanillawell.coordination.leases import LEASE
+from vanillawell.coordination.leases import TASK_LEASE
 from vanillawell.tests.scheduler_cluster import (
     PREFIX,
     Cluster,
@@ -37,6 +37,6 @@
     await anyio.sleep(FORMER_LIFE)
     built.restart("i-0")
     built.register("i-0")
-    life = built.hosts["i-0"].life
-    await until(lambda: life.holds > 0)
-    assert life._lease_end / 1000 <= life.clock / 1000 + LEASE + ROUNDING
+    executor = built.hosts["i-0"].executor
+    await until(lambda: executor.holds > 0)
+    assert executor._lease_end / 1000 <= executor.clock / 1000 + TASK_LEASE + ROUNDING
--- a/vanillawell/tests/scheduler_cluster.py
+++ b/vanillawell/tests/scheduler_cluster.py
@@ -80,7 +80,7 @@
 
 
 @dataclass(slots=True)
-class CutStore:
+class InterruptibleStore:
     """Stand between one scheduler and the store, so that just its path can be cut."""
 
     inner: FollowedStore
@@ -139,13 +139,13 @@
 class Host:
     """Where an executor lives; its present life can be replaced."""
 
-    life: StandInExecutor
+    executor: StandInExecutor
     address: str
     machine: str
     rack: str
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
-        await self.life(scope, receive, send)
+        await self.executor(scope, receive, send)
 
 
 @dataclass(slots=True)
@@ -163,7 +163,7 @@
 
     node: Node
     app: CallerApp
-    store: CutStore
+    store: InterruptibleStore
     scope: anyio.CancelScope
     ended: anyio.Event
 
@@ -215,7 +215,7 @@
     machines_address: str
     audit: Audit = field(default_factory=Audit)
     hosts: dict[str, Host] = field(default_factory=dict)
-    lives: list[StandInExecutor] = field(default_factory=list)
+    executors: list[StandInExecutor] = field(default_factory=list)
     members: list[Member] = field(default_factory=list)
     _ids: Any = field(default_factory=lambda: itertools.count(1))
 
@@ -232,12 +232,12 @@
         born: int = 1_000,
     ) -> Host:
         """Start an executor, on a machine of its own unless one is named, and register it."""
-        life = StandInExecutor(name, self.audit, self.lives, cpu, born)
-        self.lives.append(life)
-        host = Host(life, "", machine or f"machine-of-{name}", rack)
+        executor = StandInExecutor(name, self.audit, self.executors, cpu, born)
+        self.executors.append(executor)
+        host = Host(executor, "", machine or f"machine-of-{name}", rack)
         host.address = listen(self.tasks, host)
         self.hosts[name] = host
-        self.tasks.start_soon(life.tick)
+        self.tasks.start_soon(executor.tick)
         self.register(name)
         self.machines.machines.setdefault(host.machine, StandInMachine(host.machine, POOL, name))
         return host
@@ -253,8 +253,8 @@
             "slots": 8,
             "state": "ready",
             "machine": host.machine,
-            "born": host.life.born,
-            "capacity": {"cpu": host.life.cpu, "memMb": 64_000, "gpu": 0},
+            "born": host.executor.born,
+            "capacity": {"cpu": host.executor.cpu, "memMb": 64_000, "gpu": 0},
             "labels": ["kind", host.rack],
             "seq": 1,
         }
@@ -266,14 +266,14 @@
 
     def leave(self, name: str) -> None:
         """Let an executor leave: all that it runs ends, and it answers nothing any more."""
-        self.hosts[name].life.leave()
+        self.hosts[name].executor.leave()
         self.store.delete(f"servers/{name}")
 
     def restart(self, name: str) -> None:
         """Crash an executor and start it again under its id."""
         host = self.hosts[name]
-        host.life = host.life.crash()
-        self.tasks.start_soon(host.life.tick)
+        host.executor = host.executor.crash()
+        self.tasks.start_soon(host.executor.tick)
 
     def add_member(self, instance: str, capacity: dict[str, float] | None = None) -> Member:
         """Start a scheduler, with as much of its machine as `capacity` says."""
@@ -301,10 +301,10 @@
             }
         )
         ports = build_ports(settings, HttpClient())
-        cut = CutStore(ports.store)
+        cut = InterruptibleStore(ports.store)
         node = Node(settings, type(ports)(cut, *list(_others(ports))))
         scope, ended = anyio.CancelScope(), anyio.Event()
-        member = Member(node, CallerApp(node.desk, node.telemetry), cut, scope, ended)
+        member = Member(node, CallerApp(node.job_service, node.telemetry), cut, scope, ended)
         self.members.append(member)
         self.tasks.start_soon(_run_member, member)
         return member
@@ -371,7 +371,7 @@
         for number in range(members):
             built.add_member(f"entry-{number}")
         await built.owner()
-        await until(lambda: all(m.node.desk.is_ready(_now()) for m in built.members))
+        await until(lambda: all(m.node.job_service.is_ready(_now()) for m in built.members))
         yield built
         tasks.cancel_scope.cancel()
 
--- a/vanillawell/tests/scheduler_failure_tests.py
+++ b/vanillawell/tests/scheduler_failure_tests.py
@@ -23,7 +23,7 @@
 
 def running(built: Cluster) -> int:
     """Return the number of runs on all executors."""
-    return sum(len(life.running) for life in built.lives)
+    return sum(len(executor.running) for executor in built.executors)
 
 
 @with_cluster(members=3)
@@ -187,8 +187,8 @@
 async def test_a_start_without_an_answer_is_settled_and_not_repeated(built: Cluster) -> None:
     """An executor starts a task and its answer is lost. The task is found running there."""
     member, job_id = built.members[0], built.new_id()
-    for life in built.lives:
-        life.faults.lose_answers = 1
+    for executor in built.executors:
+        executor.faults.lose_answers = 1
     await member.call("POST", PREFIX + job_id, job(step(2), spec={"seconds": 2.0}))
     await until_state(member, job_id, "completed", 8)
     assert set(built.audit.started.values()) == {1}
@@ -200,11 +200,11 @@
 ) -> None:
     """One answer in fifteen is lost on a bad day. An executor that answers all others is sound; if
     each lost answer kept new work away from it for a second, the callers of a peak would wait."""
-    member, life = built.members[0], built.lives[0]
+    member, executor = built.members[0], built.executors[0]
     first, second, third = built.new_id(), built.new_id(), built.new_id()
-    life.faults.lose_answers = 1
+    executor.faults.lose_answers = 1
     await member.call("POST", PREFIX + first, job(spec={"seconds": 5}))
-    await until(lambda: bool(life.running))
+    await until(lambda: bool(executor.running))
     await member.call("POST", PREFIX + second, job())
     await until_state(member, second, "completed")
     await anyio.sleep(0.6)
@@ -216,10 +216,10 @@
 async def test_a_lost_report_hides_the_end_of_a_task_for_a_moment_only(built: Cluster) -> None:
     """One report in fifteen is lost on a bad day. Until that is noticed, the executor's ends are
     not seen, its room is not used, and everybody waits who needs either."""
-    member, life, job_id = built.members[0], built.lives[0], built.new_id()
+    member, executor, job_id = built.members[0], built.executors[0], built.new_id()
     await member.call("POST", PREFIX + job_id, job(step(2), spec={"seconds": 0.4}))
-    await until(lambda: len(life.running) == 2)
-    life.faults.lose_reports = 1
+    await until(lambda: len(executor.running) == 2)
+    executor.faults.lose_reports = 1
     await until_state(member, job_id, "completed", 2.0)
 
 
@@ -228,8 +228,8 @@
     """An order gets no answer and is carried out two seconds later, after the same task might have
     been started elsewhere. It is ruled out at its executor first."""
     member, job_id = built.members[0], built.new_id()
-    for life in built.lives:
-        life.faults.apply_late = 2.0
+    for executor in built.executors:
+        executor.faults.apply_late = 2.0
     await member.call("POST", PREFIX + job_id, job(step(2), spec={"seconds": 1.5}))
     await until_state(member, job_id, "completed", 10)
     await anyio.sleep(1.0)
@@ -255,10 +255,10 @@
     member, job_id = built.members[0], built.new_id()
     await member.call("POST", PREFIX + job_id, job(step(2), spec={"seconds": 20}))
     await until(lambda: running(built) == 2)
-    silent = next(host for host in built.hosts.values() if host.life.running)
-    task = next(iter(silent.life.running))
-    silent.life.faults.silent = True
-    built.store.delete(f"servers/{silent.life.name}")
+    silent = next(host for host in built.hosts.values() if host.executor.running)
+    task = next(iter(silent.executor.running))
+    silent.executor.faults.silent = True
+    built.store.delete(f"servers/{silent.executor.name}")
     await until(lambda: built.audit.started[task] == 2, 12)
 
 
@@ -314,9 +314,9 @@
     job_id, other_id = built.new_id(), built.new_id()
     await owner.call("POST", PREFIX + job_id, job(spec={"seconds": 30}))
     await until(lambda: running(built) == 1)
-    name = next(life.name for life in built.lives if life.running)
-    for life in built.lives:
-        life.faults.silent = life.name == name
+    name = next(executor.name for executor in built.executors if executor.running)
+    for executor in built.executors:
+        executor.faults.silent = executor.name == name
     await owner.call("DELETE", PREFIX + job_id)
     built.store.delete(f"servers/{name}")
     await anyio.sleep(0.2)
@@ -335,7 +335,7 @@
     job_id, member = built.new_id(), built.members[0]
     lasting = step(2, longRunning=True, maxUnavailable=1, maxPerServer=1)
     await member.call("POST", PREFIX + job_id, job(lasting, spec={"seconds": 60}))
-    await until(lambda: sum(len(life.running) for life in built.lives) == 2)
+    await until(lambda: sum(len(executor.running) for executor in built.executors) == 2)
     for name in built.hosts:
         built.store.delete(f"servers/{name}")
     machines = built.machines.machines
@@ -343,7 +343,7 @@
     built.store.put_document("op/wave/1", wave)
     await until(lambda: any(machine.upkeeps for machine in machines.values()), 3)
     await anyio.sleep(0.7)
-    used = {host.machine for host in built.hosts.values() if host.life.running}
+    used = {host.machine for host in built.hosts.values() if host.executor.running}
     assert len(used) == 2
     assert not any(machines[name].upkeeps for name in used)
 
@@ -374,7 +374,7 @@
     await member.call("POST", PREFIX + job_id, job(lasting, spec={"seconds": 60}))
     await member.call("POST", PREFIX + short, job(step(3, maxPerServer=1), spec={"seconds": 60}))
     await until(lambda: running(built) == 5)
-    dark, other = [life for life in built.lives if len(life.running) == 2]
+    dark, other = [executor for executor in built.executors if len(executor.running) == 2]
     kept = next(name for name in other.running if name.startswith(job_id))
     dark.faults.silent = True
     await anyio.sleep(2.0)
--- a/vanillawell/tests/scheduler_path_tests.py
+++ b/vanillawell/tests/scheduler_path_tests.py
@@ -112,7 +112,7 @@
     await member.call("POST", PREFIX + job_id, body)
     await until(lambda: len(built.audit.started) == 2)
     assert (await member.call("DELETE", PREFIX + job_id)).status == 200
-    await until(lambda: not any(life.running for life in built.lives), 2)
+    await until(lambda: not any(executor.running for executor in built.executors), 2)
     assert await member.state(job_id) == "cancelled"
     await anyio.sleep(0.3)
     assert len(built.audit.started) == 2
@@ -167,7 +167,7 @@
     most = 0
     with anyio.fail_after(8):
         while any([await member.state(job_id) != "completed" for job_id in ids]):
-            most = max(most, sum(len(life.running) for life in built.lives))
+            most = max(most, sum(len(executor.running) for executor in built.executors))
     assert 1 <= most <= 3
 
 
@@ -177,7 +177,7 @@
     job_id, member = built.new_id(), built.members[0]
     await member.call("POST", HINTED_PREFIX + job_id, job(step(3)))
     await until(lambda: len(built.audit.started) == 3)
-    assert not built.hosts["i-0"].life.running
+    assert not built.hosts["i-0"].executor.running
 
 
 @with_cluster(executors=3)
@@ -196,7 +196,7 @@
     built.machines.on_upkeep = upkeep
     lasting = step(2, longRunning=True, maxUnavailable=1, maxPerServer=1)
     await member.call("POST", PREFIX + job_id, job(lasting, spec={"seconds": 60}))
-    await until(lambda: sum(len(life.running) for life in built.lives) == 2)
+    await until(lambda: sum(len(executor.running) for executor in built.executors) == 2)
     wave = {"wave": 1, "machines": list(built.machines.machines), "durationS": 20, "maximum": 1}
     built.store.put_document("op/wave/1", wave)
 
@@ -207,7 +207,7 @@
     await until(completed, 15)
     assert [machine.upkeeps for machine in built.machines.machines.values()] == [1, 1, 1]
     assert built.machines.most_away == 1
-    await until(lambda: sum(len(life.running) for life in built.lives) == 2)
+    await until(lambda: sum(len(executor.running) for executor in built.executors) == 2)
 
 
 def _decode(text: str) -> bytes:
--- a/vanillawell/tests/scheduling_builders.py
+++ b/vanillawell/tests/scheduling_builders.py
@@ -75,10 +75,10 @@
 
     shown: dict[str, float] = field(default_factory=dict)
 
-    def at_least(self, now: float) -> dict[str, float]:
+    def lower_bound(self, now: float) -> dict[str, float]:
         return self.shown
 
-    def at_most(self, now: float) -> dict[str, float]:
+    def upper_bound(self, now: float) -> dict[str, float]:
         return self.shown
 
 
--- a/vanillawell/tests/short_terms_tests.py
+++ b/vanillawell/tests/short_terms_tests.py
@@ -6,13 +6,13 @@
 
 from vanillawell.node import SHARD
 from vanillawell.protocol.work_documents import WorkKeys
-from vanillawell.tests.owner_series_tests import (
+from vanillawell.tests.scheduler_cluster import Cluster, until, with_cluster
+from vanillawell.tests.successive_owners_tests import (
     LONGEST_ABSENCE,
     kill,
     silence_an_executor,
     stop,
 )
-from vanillawell.tests.scheduler_cluster import Cluster, until, with_cluster
 
 UNNOTICED = 1.0
 """Seconds for which an owner has not noticed yet that an executor of lasting tasks is silent."""
--- a/vanillawell/tests/standby_pools.py
+++ b/vanillawell/tests/standby_pools.py
@@ -30,7 +30,7 @@
         if machine.pool == STANDBY:
             return
         host = await built.add_executor(f"moved-{next(names)}", machine=machine.name)
-        machine.executor = host.life.name
-        built.register(host.life.name, service=machine.pool)
+        machine.executor = host.executor.name
+        built.register(host.executor.name, service=machine.pool)
 
     built.machines.on_move = moved
--- a/vanillawell/tests/stopping_owner_tests.py
+++ b/vanillawell/tests/stopping_owner_tests.py
@@ -126,7 +126,7 @@
     await built.kill(owner)
     await anyio.sleep(6.0)
     assert built.audit.started[task] == 1
-    assert any(task in life.running for life in built.lives)
+    assert any(task in executor.running for executor in built.executors)
 
 
 @with_cluster(members=2)
@@ -177,7 +177,7 @@
         assert max(waits) < UNATTENDED
         await anyio.sleep(6.0)
         assert set(built.audit.started.values()) == {1}
-        assert any(task in life.running for life in built.lives)
+        assert any(task in executor.running for executor in built.executors)
 
     run()
 
--- a/vanillawell/tests/store_doubt_tests.py
+++ b/vanillawell/tests/store_health_tests.py
@@ -10,7 +10,7 @@
 import anyio
 
 from vanillawell import clock
-from vanillawell.coordination.store_doubt import StoreDoubt
+from vanillawell.coordination.store_health import StoreHealth
 from vanillawell.tests.scheduler_cluster import PREFIX as JOBS
 from vanillawell.tests.scheduler_cluster import Cluster, job, until, with_cluster
 
@@ -59,7 +59,7 @@
 
 def test_an_answer_that_was_lost_among_others_is_no_silence() -> None:
     """A write gets no answer within its bound, while a waiting call was answered meanwhile."""
-    doubt = StoreDoubt()
+    doubt = StoreHealth()
     doubt.note_answer(now=1.0)
     doubt.note_silence(sent=0.5, now=2.0)
     assert doubt.is_doubtful() and not doubt.is_silent(2.0)
--- a/vanillawell/tests/owner_series_tests.py
+++ b/vanillawell/tests/successive_owners_tests.py
@@ -37,9 +37,9 @@
     await owner.call("POST", PREFIX + job_id, lasting)
     task = f"{job_id}.0.0.0"
     await until(lambda: task in built.audit.started)
-    host = next(host for host in built.hosts.values() if task in host.life.running)
-    host.life.faults.silent = True
-    built.store.delete(f"servers/{host.life.name}")
+    host = next(host for host in built.hosts.values() if task in host.executor.running)
+    host.executor.faults.silent = True
+    built.store.delete(f"servers/{host.executor.name}")
     return task
 
 
@@ -112,7 +112,7 @@
     await built.owner()
     await anyio.sleep(5.5)
     assert built.audit.started[task] == 1
-    assert any(task in life.running for life in built.lives)
+    assert any(task in executor.running for executor in built.executors)
 
 
 @with_cluster(members=3, executors=3)
@@ -120,10 +120,10 @@
     """A machine goes down and the owner is killed before it notices. The list of machines tells its
     successor that nothing runs there, so the lasting task runs again within the promised time."""
     task = await silence_an_executor(built)
-    name = next(host.life.name for host in built.hosts.values() if host.life.faults.silent)
+    name = next(host.executor.name for host in built.hosts.values() if host.executor.faults.silent)
     machine = built.machines.machines[built.hosts[name].machine]
     machine.state, machine.executor = "down", ""
-    built.hosts[name].life.crash()
+    built.hosts[name].executor.crash()
     with anyio.fail_after(LONGEST_ABSENCE):
         await kill(built, await built.owner())
         await until(lambda: built.audit.started[task] == 2, LONGEST_ABSENCE)
--- a/vanillawell/tests/upkeep_runner_tests.py
+++ b/vanillawell/tests/upkeep_runner_tests.py
@@ -19,7 +19,7 @@
 
 def _life_on(built: Cluster, machine: StandInMachine) -> StandInExecutor | None:
     host = built.hosts.get(machine.executor)
-    return host.life if host else None
+    return host.executor if host else None
 
 
 def _add_spares(built: Cluster) -> list[str]:
@@ -36,8 +36,8 @@
     ended: list[str] = []
 
     async def begun(machine: StandInMachine) -> None:
-        life = _life_on(built, machine)
-        if machine.state == "upkeep" and life is not None and life.running:
+        executor = _life_on(built, machine)
+        if machine.state == "upkeep" and executor is not None and executor.running:
             ended.append(machine.name)
 
     obey_moves(built)
--- a/vanillawell/tests/weak_owner_tests.py
+++ b/vanillawell/tests/weak_owner_tests.py
@@ -159,7 +159,7 @@
     await anyio.sleep(GIVE_WAY_BOUND)
     assert token(built) == before
     assert set(built.audit.started.values()) == {1}
-    assert any(task in life.running for life in built.lives)
+    assert any(task in executor.running for executor in built.executors)
 
 
 def test_a_damaged_holder_counts_as_one_that_can_carry_the_shard() -> None:
