--- a/vanillawell/coordination/candidate.py
+++ b/vanillawell/coordination/candidate.py
@@ -1,4 +1,4 @@
-"""Take a shard under a lease whenever nobody owns it."""
+"""Acquire a shard under a lease of the store whenever it has no owner."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 import anyio
 
 from vanillawell import clock
-from vanillawell.coordination.challenger import PRECEDENCE
+from vanillawell.coordination.challenger import BIDDER_HEAD_START
 from vanillawell.coordination.holder_watch import HolderWatch
 from vanillawell.coordination.renewed_lease import RenewedLease
 from vanillawell.coordination.shard_claim import ShardClaim
-from vanillawell.coordination.term import LEASE, Term
+from vanillawell.coordination.term import OWNERSHIP_LEASE, Term
 from vanillawell.exceptions import StoreError, StoreOutcomeUnknownError
 from vanillawell.protocol.lease_bounds import LeaseBounds
 from vanillawell.protocol.store import Compare, Put, Transaction
@@ -27,47 +27,48 @@
 
 log = logging.getLogger(__name__)
 
-TRY_PAUSE = 0.3
-"""Seconds before a candidate tries again after the shard was not to be had."""
+RETRY_INTERVAL = 0.3
+"""Seconds before a candidate tries again after it failed to take the shard."""
 
-TRIES_AT_ONCE = 3
-"""Tries to take a shard that is free while its former owner's last writes get ahead."""
+MAX_IMMEDIATE_TRIES = 3
+"""Maximum tries without a delay while late writes of the previous owner change the term
+document."""
 
-STAGGER = 0.06
-"""Seconds over which the candidates spread their tries after an owner was lost."""
+MAX_JITTER = 0.06
+"""Seconds over which candidates spread their tries at random after an owner was lost."""
 
-SETTLED = 1.0
-"""Seconds after its start from which an entry is preferred; one that fails at once is not."""
+PREFERRED_FROM_UPTIME = 1.0
+"""Seconds after its start from which an entry is preferred; one that crashes early is not."""
 
-HEAD_START = 0.3
-"""Seconds that the weakest entries leave a free shard to stronger ones."""
+MAX_SHORTFALL_DELAY = 0.3
+"""Seconds by which an entry with the largest capacity shortfall delays its try."""
 
-OWNER_CORES = 1.0
-"""Plain cores with which an entry keeps up with some two hundred executors."""
+REQUIRED_CORES = 1.0
+"""Reference cores with which an owner keeps up with about two hundred executors."""
 
-OWNER_LINK = 50.0
-"""Megabits a second with which it reads a page of the store in a fraction of its lease."""
+REQUIRED_LINK = 50.0
+"""Megabits per second with which an owner reads a page of the store in a fraction of its lease."""
 
-LATELY = 60.0
-"""Seconds after its start for which an entry is preferred as an owner; a restart of all entries of
-a fleet of dozens takes about that long."""
+PREFERRED_UNTIL_UPTIME = 60.0
+"""Seconds after its start until which an entry is preferred; a rolling restart of a fleet of dozens
+of entries takes about that long."""
 
 
-def weakness(capacity: EntryCapacity) -> float:
-    """Return how far an entry falls short of what an owner needs, from 0 to 1."""
-    return 1 - min(1.0, capacity.cores / OWNER_CORES, capacity.link_mbit / OWNER_LINK)
+def capacity_shortfall(capacity: EntryCapacity) -> float:
+    """Return how far an entry falls short of the capacity that an owner needs, from 0 to 1."""
+    return 1 - min(1.0, capacity.cores / REQUIRED_CORES, capacity.link_mbit / REQUIRED_LINK)
 
 
-END_BOUND = 0.5
-"""Seconds to wait for the answer to the end of a lease, which ends by itself soon after."""
+REVOKE_TIMEOUT = 0.5
+"""Seconds to wait for the answer to the revocation of a lease, which expires soon in any case."""
 
 
-class _TermMovedError(Exception):
-    """The shard is free, but its former owner has written since its document was read."""
+class _TermChangedError(Exception):
+    """The shard is free, but its previous owner has written the term document since it was read."""
 
 
 class Candidate:
-    """Take a shard whenever nobody holds it."""
+    """Acquire a shard whenever nobody holds it."""
 
     def __init__(
         self,
@@ -83,138 +84,145 @@
         self._term_key = keys.term(shard)
         self._bounds_key = keys.lease_bounds(shard)
         self._began = clock.read()
-        short_by = 0.0 if capacity is None else weakness(capacity)
-        self._me = Contender(f"{instance}/{uuid.uuid4().hex[:8]}", short_by)
-        self._watch = HolderWatch(store, keys, shard)
-        self._claims = 0
-        """Number of the latest claim. Each writes a document of its own: one whose answer was lost
-        may take effect later, under its own lease, and must not pass for the next one."""
+        shortfall = 0.0 if capacity is None else capacity_shortfall(capacity)
+        self._contender = Contender(f"{instance}/{uuid.uuid4().hex[:8]}", shortfall)
+        self._holder_watch = HolderWatch(store, keys, shard)
+        self._claim_count = 0
+        """Number of the latest claim. It makes the term document of each claim unique: a claim
+        whose answer was lost may still take effect, under its own lease, and must not be mistaken
+        for a later one."""
 
     @property
-    def me(self) -> Contender:
-        """Return how this entry presents itself."""
-        return self._me
+    def contender(self) -> Contender:
+        """Return the name and capacity shortfall under which this entry competes."""
+        return self._contender
 
     @property
-    def watch(self) -> HolderWatch:
-        """Return what is known of who owns the shard."""
-        return self._watch
+    def holder_watch(self) -> HolderWatch:
+        """Return the watch on the shard's holder and bids."""
+        return self._holder_watch
 
     @property
     def holder(self) -> str | None:
-        """Return who holds the shard as far as known."""
-        return self._watch.holder.name if self._watch.holder else None
+        """Return the name of the entry that holds the shard, as far as known."""
+        return self._holder_watch.holder.name if self._holder_watch.holder else None
 
-    async def follow(self) -> None:
-        """Follow who holds the shard until cancelled."""
-        await self._watch.run()
+    async def watch_holder(self) -> None:
+        """Watch the shard's holder until cancelled."""
+        await self._holder_watch.run()
 
     def _delay(self, now: float) -> float:
-        """Return how long to leave a free shard to others.
+        """Return the seconds for which to leave a free shard to other candidates.
 
-        Entries that started lately go first: when all are restarted one after the other, those have
-        their restart behind them, and the shard changes its owner less often. Before that counts
-        strength: an owner that can't keep up keeps all jobs waiting for as long as it stays. An
-        entry that has asked a weaker owner for the shard goes before all others.
+        An entry that has bid for the shard goes first. Then the capacity shortfall decides, since
+        an owner that cannot keep up delays all jobs for as long as it owns the shard. Among equals
+        those that started recently go first: in a rolling restart they have been restarted already,
+        so the shard changes its owner less often.
         """
-        bid = self._watch.bid
-        if bid == self._me:
+        bid = self._holder_watch.bid
+        if bid == self._contender:
             return 0.0
-        lately = SETTLED <= now - self._began < LATELY
-        wait = random.uniform(0, STAGGER) + (0 if lately else STAGGER)
-        return wait + self._me.weakness * HEAD_START + (PRECEDENCE if bid else 0.0)
+        recently_started = PREFERRED_FROM_UPTIME <= now - self._began < PREFERRED_UNTIL_UPTIME
+        wait = random.uniform(0, MAX_JITTER) + (0 if recently_started else MAX_JITTER)
+        return (
+            wait
+            + self._contender.weakness * MAX_SHORTFALL_DELAY
+            + (BIDDER_HEAD_START if bid else 0.0)
+        )
 
-    async def win(self) -> Term:
+    async def acquire(self) -> Term:
         """Wait until the shard is free and take it.
 
-        Cancelled while the store is asked for it, this still returns what was taken, if it was.
+        If cancelled during the write that takes the shard, this still completes the write and
+        returns the term if it succeeded.
         """
         while True:
-            changed = self._watch.changed
-            if not self._watch.is_free():
+            changed = self._holder_watch.changed
+            if not self._holder_watch.is_free():
                 await changed.wait()
                 continue
             await anyio.sleep(self._delay(clock.read()))
-            if not self._watch.is_free():
+            if not self._holder_watch.is_free():
                 continue
             try:
-                term = await self._take()
+                term = await self._try_to_take()
             except StoreError as error:
                 log.warning("shard not taken", extra={"shard": self._shard, "why": str(error)})
                 term = None
             if term is not None:
                 return term
-            with anyio.move_on_after(TRY_PAUSE):
+            with anyio.move_on_after(RETRY_INTERVAL):
                 await changed.wait()
 
-    async def _take(self) -> Term | None:
-        """Take the shard unless somebody else has it by now."""
-        for _ in range(TRIES_AT_ONCE):
+    async def _try_to_take(self) -> Term | None:
+        """Take the shard; return None if another entry holds it or keeps writing the term."""
+        for _ in range(MAX_IMMEDIATE_TRIES):
             try:
-                return await self._try_once()
-            except _TermMovedError:
-                log.info("former owner has written meanwhile", extra={"shard": self._shard})
+                return await self._claim()
+            except _TermChangedError:
+                log.info("term document changed during the claim", extra={"shard": self._shard})
         return None
 
-    async def _try_once(self) -> Term | None:
-        found = await self._store.get(self._term_key)
-        before = TermDocument.from_bytes(found.value) if found else TermDocument(0, "")
-        self._claims += 1
-        document = TermDocument(before.token + 1, self._me.name, self._claims)
+    async def _claim(self) -> Term | None:
+        stored = await self._store.get(self._term_key)
+        before = TermDocument.from_bytes(stored.value) if stored else TermDocument(0, "")
+        self._claim_count += 1
+        document = TermDocument(before.token + 1, self._contender.name, self._claim_count)
         bounds = await self._read_bounds(before.token)
         sent = clock.read()
-        number = await self._store.grant_lease(LEASE)
-        lease = RenewedLease(self._store, number, LEASE, sent)
-        proof = Put(self._term_key, document.to_bytes())
+        number = await self._store.grant_lease(OWNERSHIP_LEASE)
+        lease = RenewedLease(self._store, number, OWNERSHIP_LEASE, sent)
+        marker = Put(self._term_key, document.to_bytes())
         transaction = Transaction(
             compares=[
                 Compare(self._holder_key, 0),
-                Compare(self._term_key, found.mod_revision if found else 0),
+                Compare(self._term_key, stored.mod_revision if stored else 0),
             ],
             puts=[
-                Put(self._holder_key, self._me.to_bytes(), number),
-                proof,
+                Put(self._holder_key, self._contender.to_bytes(), number),
+                marker,
                 Put(self._bounds_key, bounds.signed(document.token).to_bytes()),
             ],
         )
         try:
-            # Broken off, the entry would not know whether it has the shard, nor pass it on.
+            # If the write were cancelled, the entry could not know whether it owns the shard, and
+            # so could not hand it over.
             with anyio.CancelScope(shield=True):
-                result = await ShardClaim(self._store, lease, transaction, proof).settle()
+                result = await ShardClaim(self._store, lease, transaction, marker).settle()
         except StoreOutcomeUnknownError:
-            await self._end(lease)
+            await self._revoke(lease)
             raise
         if not result.succeeded:
-            await self._end(lease)
+            await self._revoke(lease)
             holder = result.values.get(self._holder_key)
             if holder is None or not holder.mod_revision:
-                raise _TermMovedError
+                raise _TermChangedError
             return None
         fields = {"shard": self._shard, "token": document.token, "before": before.holder}
-        log.info("shard taken", extra={**fields, "weakness": round(self._me.weakness, 3)})
+        log.info("shard taken", extra={**fields, "weakness": round(self._contender.weakness, 3)})
         return Term(self._store, self._term_key, document, result.revision, lease, bounds)
 
-    async def _end(self, lease: RenewedLease) -> None:
-        """End the lease of a claim that failed, so that no try of it takes effect any more."""
-        with anyio.move_on_after(END_BOUND, shield=True) as bound:
+    async def _revoke(self, lease: RenewedLease) -> None:
+        """Revoke the lease of a failed claim, so that none of its writes can take effect later."""
+        with anyio.move_on_after(REVOKE_TIMEOUT, shield=True) as bound:
             try:
                 await self._store.revoke(lease.number)
             except StoreError as error:
                 fields = {"shard": self._shard, "why": str(error)}
                 log.warning("lease left to itself", extra=fields)
         if bound.cancelled_caught:
-            fields = {"shard": self._shard, "why": f"no answer in {END_BOUND} s"}
+            fields = {"shard": self._shard, "why": f"no answer in {REVOKE_TIMEOUT} s"}
             log.warning("lease left to itself", extra=fields)
 
     async def _read_bounds(self, token: int) -> LeaseBounds:
-        """Read what the owner with this token left of executors' leases."""
-        found = await self._store.get(self._bounds_key)
-        if found is None:
+        """Read the lease bounds stored by the owner with this token; empty if there are none."""
+        stored = await self._store.get(self._bounds_key)
+        if stored is None:
             return LeaseBounds()
         try:
-            bounds = LeaseBounds.from_bytes(found.value)
+            bounds = LeaseBounds.from_bytes(stored.value)
         except ValueError as error:
-            # Without them each executor is waited for as long as any lease may last.
+            # Without bounds each executor counts as holding the longest possible lease.
             log.error("lease bounds unreadable", extra={"why": str(error)})
             return LeaseBounds()
         if bounds.token != token:
--- a/vanillawell/coordination/challenger.py
+++ b/vanillawell/coordination/challenger.py
@@ -1,7 +1,8 @@
-"""Ask an owner that can't carry its shard to hand it to an entry that can.
+"""Ask an owner that lacks the capacity for its shard to hand it over to an entry that has it.
 
 A shard is never taken from an owner that renews its lease. While the store is slow or loses
-answers, the head start of strong entries may not be enough, and a weak one becomes the owner.
+answers, an entry with a large capacity shortfall may become the owner in spite of the delay that it
+applies to its claims; a bid corrects this later.
 """
 
 from __future__ import annotations
@@ -22,84 +23,96 @@
 
 log = logging.getLogger(__name__)
 
-MARGIN = 0.25
-"""Difference in weakness from which a change of owner is worth its interruption."""
+MIN_SHORTFALL_DIFFERENCE = 0.25
+"""Difference in capacity shortfall from which a change of owner is worth the interruption."""
 
-PATIENCE = 1.0
-"""Seconds for which a weaker owner is left alone, so that owners don't change in quick succession
-while all entries are restarted in turn."""
+BID_DELAY = 1.0
+"""Seconds of ownership before a bid is placed, so that owners do not change in quick succession
+during a rolling restart."""
 
 BID_LEASE = 3.0
-"""Seconds for which a bid stands: the hand-over and the take-over, while the store is slow."""
+"""Seconds for which a bid is valid: enough for a hand-over and a take-over on a slow store."""
 
-PRECEDENCE = 1.0
-"""Seconds for which all others leave a free shard to the entry that has asked for it."""
+BIDDER_HEAD_START = 1.0
+"""Seconds for which all other candidates leave a free shard to the bidder."""
 
 
-def is_weaker(owner: Contender, other: Contender) -> bool:
-    """Tell whether an owner falls so far short of another entry that it should hand over."""
-    return owner.weakness - other.weakness >= MARGIN
+def has_larger_shortfall(owner: Contender, other: Contender) -> bool:
+    """Return whether the owner's shortfall is so much larger that it should hand over."""
+    return owner.weakness - other.weakness >= MIN_SHORTFALL_DIFFERENCE
 
 
 class Challenger:
-    """Bid for a shard whenever a much weaker entry owns it."""
+    """Bid for a shard whenever an entry with a much larger capacity shortfall owns it."""
 
     def __init__(
-        self, store: FollowedStore, keys: WorkKeys, shard: str, me: Contender, watch: HolderWatch
+        self,
+        store: FollowedStore,
+        keys: WorkKeys,
+        shard: str,
+        contender: Contender,
+        holder_watch: HolderWatch,
     ) -> None:
         self._store = store
         self._shard = shard
         self._key = keys.bid(shard)
-        self._me = me
-        self._watch = watch
-        self._heeded = 0
+        self._contender = contender
+        self._holder_watch = holder_watch
+        self._handled_revision = 0
 
     async def run(self) -> None:
-        """Bid until cancelled."""
+        """Place bids until cancelled."""
         while True:
-            changed = self._watch.changed
-            pause = self._pause(clock.read())
-            if pause is None:
+            changed = self._holder_watch.changed
+            delay = self._time_until_bid(clock.read())
+            if delay is None:
                 await changed.wait()
-            elif pause > 0:
-                with anyio.move_on_after(pause):
+            elif delay > 0:
+                with anyio.move_on_after(delay):
                     await changed.wait()
             else:
                 await self._bid()
                 await anyio.sleep(BID_LEASE)
 
-    def _pause(self, now: float) -> float | None:
-        """Return the seconds until it is time to bid; None if there is no reason to."""
-        holder = self._watch.holder
-        if holder is None or not is_weaker(holder, self._me):
+    def _time_until_bid(self, now: float) -> float | None:
+        """Return the seconds until the next bid is due; None if there is no reason to bid."""
+        holder = self._holder_watch.holder
+        if holder is None or not has_larger_shortfall(holder, self._contender):
             return None
-        if self._watch.bid is not None:
+        if self._holder_watch.bid is not None:
             return BID_LEASE
-        return self._watch.held_since + PATIENCE - now
+        return self._holder_watch.held_since + BID_DELAY - now
 
     async def _bid(self) -> None:
-        fields = {"shard": self._shard, "holder": self._watch.holder and self._watch.holder.name}
+        fields = {
+            "shard": self._shard,
+            "holder": self._holder_watch.holder and self._holder_watch.holder.name,
+        }
         try:
             lease = await self._store.grant_lease(BID_LEASE)
-            bid = Put(self._key, self._me.to_bytes(), lease)
+            bid = Put(self._key, self._contender.to_bytes(), lease)
             result = await self._store.transact(Transaction([Compare(self._key, 0)], [bid]))
         except StoreError as error:
-            log.warning("shard not asked for", extra={**fields, "why": str(error)})
+            log.warning("bid for shard not stored", extra={**fields, "why": str(error)})
             return
         log.info("shard asked for", extra={**fields, "first": result.succeeded})
 
-    async def outbid(self) -> Contender:
-        """Wait until a much stronger entry asks this one for the shard; returns that entry.
+    async def wait_for_stronger_bid(self) -> Contender:
+        """Wait until an entry with a much smaller shortfall bids for this entry's shard; return it.
 
-        Each bid is told once: an entry that asked and is lost must not keep the shard moving.
+        Each bid is returned once, so that a bidder that was lost does not cause repeated
+        hand-overs.
         """
         while True:
-            changed, bid = self._watch.changed, self._watch.bid
-            if bid and self._owns() and self._watch.bid_revision > self._heeded:
-                self._heeded = self._watch.bid_revision
-                if is_weaker(self._me, bid):
+            changed, bid = self._holder_watch.changed, self._holder_watch.bid
+            if bid and self._owns() and self._holder_watch.bid_revision > self._handled_revision:
+                self._handled_revision = self._holder_watch.bid_revision
+                if has_larger_shortfall(self._contender, bid):
                     return bid
             await changed.wait()
 
     def _owns(self) -> bool:
-        return self._watch.holder is not None and self._watch.holder.name == self._me.name
+        return (
+            self._holder_watch.holder is not None
+            and self._holder_watch.holder.name == self._contender.name
+        )
--- a/vanillawell/coordination/hand_over.py
+++ b/vanillawell/coordination/hand_over.py
@@ -1,4 +1,4 @@
-"""Leave a successor what it has to know of executors' leases."""
+"""Hand a shard over: renew leases a last time and store their bounds for the next owner."""
 
 from __future__ import annotations
 
@@ -21,44 +21,53 @@
 
 log = logging.getLogger(__name__)
 
-RENEWAL_BOUND = 0.3
-"""Seconds for which a stopping owner waits for executors to confirm a last renewal."""
+FINAL_RENEWAL_TIMEOUT = 0.3
+"""Seconds for which an owner that hands over waits for executors to confirm the last renewal."""
 
 
-async def renew_once(drivers: Iterable[ExecutorDriver]) -> frozenset[str]:
-    """Renew the leases of all sound work, so that it outlives a slow change of owner.
+async def renew_healthy_executors(drivers: Iterable[ExecutorDriver]) -> frozenset[str]:
+    """Renew the leases of all healthy executors, so that their runs outlive a slow change of owner.
 
-    Returns the executors that did not answer, which may have fallen silent just before.
+    Returns:
+        Names of the executors that did not answer and may have just become unresponsive.
     """
-    sound = [item for item in drivers if item.executor.runs and not item.executor.is_unconfirmed]
-    unanswered = {driver.executor.name for driver in sound}
+    healthy = [item for item in drivers if item.executor.runs and not item.executor.is_unconfirmed]
+    unanswered = {driver.executor.name for driver in healthy}
 
     async def renew(driver: ExecutorDriver) -> None:
         if await driver.renew():
             unanswered.discard(driver.executor.name)
 
-    with anyio.move_on_after(RENEWAL_BOUND):
+    with anyio.move_on_after(FINAL_RENEWAL_TIMEOUT):
         async with anyio.create_task_group() as renewals:
-            for driver in sound:
+            for driver in healthy:
                 renewals.start_soon(renew, driver)
     return frozenset(unanswered)
 
 
-async def store_last_bounds(
+async def store_final_bounds(
     term: Term,
     leases: LeaseManager,
     executors: Mapping[str, Executor],
     until: float,
     unanswered: frozenset[str] = frozenset(),
 ) -> bool:
-    """Try once to store the last word of an owner on leases, by `until` on the clock of decisions;
-    tells whether that was done.
-
-    It names executors that left the last renewal `unanswered` as silent, so that their bounds
-    outlive a successor that is lost before it has noticed anything.
-
-    While the store is away nobody can take over, and what runs is better renewed: a try that did
-    nothing for certain is taken back.
+    """Try once to store the final lease document of an owner.
+
+    While the store is unreachable no entry can take over, so it is better to keep renewing: if the
+    write certainly had no effect, its draft is discarded.
+
+    Args:
+        term: Term of the owner; it is closed once the document is stored.
+        leases: Leases of the term.
+        executors: All executors of the shard, by name.
+        until: Time of `clock.read` by which the document has to be stored.
+        unanswered: Executors that did not answer the last renewal. They are listed as silent, so
+            that their bounds remain stored even if the next owner is lost before it has contacted
+            them.
+
+    Returns:
+        Whether the document is stored.
     """
 
     def draft() -> list[Put]:
@@ -68,10 +77,10 @@
     if not term.is_held(clock.read()):
         return False
     try:
-        await term.write_if_reachable(draft, until)
+        await term.write_without_retry(draft, until)
     except StoreUnavailableError as error:
         log.warning("lease bounds not stored", extra={"why": str(error)})
-        leases.take_back()
+        leases.discard_draft()
         return False
     except StoreOutcomeUnknownError as error:
         log.warning("lease bounds not confirmed", extra={"why": str(error)})
--- a/vanillawell/coordination/inbox.py
+++ b/vanillawell/coordination/inbox.py
@@ -1,4 +1,4 @@
-"""Take in what callers ask for: new jobs, and the wish to cancel one."""
+"""Receive requests of callers from the store: new jobs and cancellations."""
 
 from __future__ import annotations
 
@@ -22,15 +22,16 @@
 
 log = logging.getLogger(__name__)
 
-FOLLOW_WAIT = 2.0
-"""Seconds one call waits for news of the inbox."""
+WATCH_TIMEOUT = 2.0
+"""Seconds that one call to the store waits for changes of the inbox."""
 
-INBOX_SILENCE = 0.25
-"""Seconds without news of the inbox after which it is read; some four reads a second in a lull."""
+POLL_AFTER_SILENCE = 0.25
+"""Seconds without a change of the inbox after which it is listed; about four listings a second
+while it is idle."""
 
 
 class Inbox:
-    """Follow the inbox of a shard for one term."""
+    """Watch the inbox of a shard for one term."""
 
     def __init__(
         self, store: FollowedStore, keys: WorkKeys, shard: Shard, wake: Callable[[], None]
@@ -39,39 +40,39 @@
         self._keys = keys
         self._shard = shard
         self._wake = wake
-        self._heard = 0.0
+        self._last_change_at = 0.0
         self.is_read = False
-        """Whether everything is known that callers asked for before this term."""
-        self._follower = PrefixWatch(
-            store, keys.inbox, FOLLOW_WAIT, self._take_listing, self._take_changes
+        """Whether all requests are known that callers made before this term."""
+        self._watch = PrefixWatch(
+            store, keys.inbox, WATCH_TIMEOUT, self._apply_listing, self._apply_changes
         )
 
     async def run(self) -> None:
-        """Follow the inbox until cancelled."""
+        """Watch the inbox until cancelled."""
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._follower.run)
-            tasks.start_soon(self._look)
+            tasks.start_soon(self._watch.run)
+            tasks.start_soon(self._poll)
 
-    def _take_listing(self, listing: Listing) -> None:
-        """Take in all that is in the inbox, jobs before the wish to cancel one of them."""
+    def _apply_listing(self, listing: Listing) -> None:
+        """Apply all requests in the inbox, jobs before cancellations."""
         jobs_first = sorted(listing.items, key=lambda item: bool(self._keys.is_cancel(item.key)))
         for item in jobs_first:
-            self._take(item.key, item.value)
+            self._apply(item.key, item.value)
         if not self.is_read:
             self.is_read = True
             log.info("inbox read", extra={"keys": len(jobs_first)})
         self._wake()
 
-    async def _look(self) -> None:
-        """Read the inbox itself while nothing is heard of it.
+    async def _poll(self) -> None:
+        """List the inbox while no changes arrive.
 
-        The store may keep changes from those who wait for them for a second, in the middle of a
-        peak; jobs would wait that long for their first start. The inbox holds only what was not
-        taken in yet, so reading it is cheap.
+        The store may deliver changes to a watch a second late, even during a load peak, and jobs
+        would wait that long for their first start. The inbox holds only requests that were not
+        accepted yet, so listing it is cheap.
         """
         while True:
-            await anyio.sleep(INBOX_SILENCE)
-            if not self.is_read or clock.read() - self._heard < INBOX_SILENCE:
+            await anyio.sleep(POLL_AFTER_SILENCE)
+            if not self.is_read or clock.read() - self._last_change_at < POLL_AFTER_SILENCE:
                 continue
             try:
                 listing = await self._store.list(self._keys.inbox)
@@ -79,32 +80,32 @@
                 log.debug("inbox not read", extra={"why": str(error)})
                 continue
             if listing.items:
-                self._take_listing(listing)
+                self._apply_listing(listing)
 
-    def _take_changes(self, changes: Changes) -> None:
-        self._heard = clock.read()
+    def _apply_changes(self, changes: Changes) -> None:
+        self._last_change_at = clock.read()
         for change in changes.changes:
             if change.value is not None:
-                self._take(change.key, change.value)
+                self._apply(change.key, change.value)
         self._wake()
 
-    def _take(self, key: str, value: bytes) -> None:
+    def _apply(self, key: str, value: bytes) -> None:
         cancelled = self._keys.is_cancel(key)
         if cancelled:
             if cancelled in self._shard.job_table.jobs:
                 self._cancel(cancelled)
-                self._note_taken(cancelled, key)
+                self._record_accepted(cancelled, key)
             return
         job_id = self._keys.is_new_job(key)
         if not job_id:
             return
-        self._note_taken(job_id, key)
+        self._record_accepted(job_id, key)
         if job_id in self._shard.job_table.jobs:
             return
         try:
             job = read_job(value)
         except ValueError as error:
-            log.error("unreadable job", extra={"job": job_id, "reason": str(error)})
+            log.error("job document unreadable", extra={"job": job_id, "reason": str(error)})
             return
         record = self._shard.admit(job, clock.read(), is_backlog=not self.is_read)
         if record is not None:
@@ -120,8 +121,8 @@
                 },
             )
 
-    def _note_taken(self, job_id: str, key: str) -> None:
-        """Let a key of the inbox go together with the record that replaces it."""
+    def _record_accepted(self, job_id: str, key: str) -> None:
+        """Delete a key of the inbox together with the write of the job's record."""
         self._shard.outbox.accepted_requests.setdefault(job_id, set()).add(key)
 
     def _cancel(self, job_id: str) -> None:
--- a/vanillawell/coordination/inherited_orders.py
+++ b/vanillawell/coordination/inherited_orders.py
@@ -1,4 +1,4 @@
-"""Keep new work off machines that a former owner's orders may take away yet."""
+"""Place no tasks on machines that orders of a previous owner may still remove."""
 
 from __future__ import annotations
 
@@ -18,55 +18,55 @@
 
 log = logging.getLogger(__name__)
 
-PAUSE = 0.1
-"""Seconds between two looks at what has become of a former owner's orders."""
+POLL_INTERVAL = 0.1
+"""Seconds between two checks of the orders of previous owners."""
 
-NAMES_TOLD = 5
-"""Machines that are named in one log line."""
+NAMES_LOGGED = 5
+"""Maximum number of machines named in one log line."""
 
 
 class InheritedOrders:
-    """Withhold the machines of a former owner's orders for one term.
+    """Withhold machines that previous owners have ordered, for one term.
 
-    An order that was announced may be sent, and carried out, after the change of owner. The
-    executor on its machine is sound and idle until then, and what is placed there ends with it.
+    An announced order may be sent and carried out after the change of owner. The executor on the
+    machine is healthy and idle until then, and tasks placed there would end with it.
     """
 
     def __init__(self, shard: Shard, wake: Callable[[], None]) -> None:
-        """Take what tells the owner of news."""
+        """Create the inherited orders of a shard; `wake` requests a scheduling cycle."""
         self._shard = shard
         self._wake = wake
-        self._read = anyio.Event()
+        self._loaded = anyio.Event()
 
     @property
-    def are_known(self) -> bool:
-        """Tell whether it has been read which machines are withheld."""
-        return self._read.is_set()
+    def are_loaded(self) -> bool:
+        """Return whether the orders have been read."""
+        return self._loaded.is_set()
 
-    async def known(self) -> None:
-        """Wait until that has been read."""
-        await self._read.wait()
+    async def wait_until_loaded(self) -> None:
+        """Wait until the orders have been read."""
+        await self._loaded.wait()
 
     async def run(self, orders: MachineOrders) -> None:
-        """Read the orders, and let their machines go one after the other."""
+        """Read the orders and withhold their machines until each order is over."""
         backoff = Backoff()
         while not await orders.load():
             await backoff.wait()
         pending = orders.pending_of_previous_owner(clock.read())
         self._shard.ledger.withhold(pending)
         if pending:
-            some = sorted(pending)[:NAMES_TOLD]
+            some = sorted(pending)[:NAMES_LOGGED]
             log.info("machines withheld", extra={"machines": len(pending), "some": some})
-        self._read.set()
+        self._loaded.set()
         self._wake()
         while pending:
-            await anyio.sleep(PAUSE)
+            await anyio.sleep(POLL_INTERVAL)
             now = clock.read()
             over = [name for name in pending if orders.is_over(name, now)]
             for name in over:
                 del pending[name]
                 self._shard.ledger.release_machine(name, now)
             if over:
-                some = sorted(over)[:NAMES_TOLD]
+                some = sorted(over)[:NAMES_LOGGED]
                 log.info("machines let go", extra={"machines": len(over), "some": some})
                 self._wake()
--- a/vanillawell/coordination/job_service.py
+++ b/vanillawell/coordination/job_service.py
@@ -1,4 +1,4 @@
-"""Answer callers who hand in jobs, ask about them, or cancel them."""
+"""Serve callers who submit jobs, query their state or cancel them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from vanillawell import clock
 from vanillawell.coordination.prefix_watch import Backoff
-from vanillawell.coordination.store_health import PROBE_BOUND, StoreHealth
+from vanillawell.coordination.store_health import PROBE_TIMEOUT, StoreHealth
 from vanillawell.exceptions import StoreError, StoreOutcomeUnknownError, StoreUnavailableError
 from vanillawell.protocol.refusals import Reason, Refusal
 from vanillawell.protocol.store import Compare, Put, Transaction
@@ -29,38 +29,39 @@
 log = logging.getLogger(__name__)
 
 FRESHNESS_MARGIN = 0.5
-"""Seconds before the bound on withdrawn keys at which an entry stops trusting what it knows."""
+"""Seconds before the bound on withdrawn keys at which the configuration counts as stale."""
 
 STORE_RETRY_AFTER = 1.0
-"""Seconds after which a caller may come back when the store was away; outages last seconds."""
+"""Seconds after which a caller may retry when the store was unreachable; outages last seconds."""
 
 DEFAULT_CALL_TIMEOUT = 2.5
-"""Seconds for which an entry tries to answer a caller that named no time itself."""
+"""Seconds within which to answer a caller that sent no deadline."""
 
-TRIES_IN_DOUBT = 2
-"""Tries without a clear answer of the store after which a caller is told that nothing is known."""
+MAX_UNCONFIRMED_TRIES = 2
+"""Number of writes with unknown outcome after which the caller is told that the outcome is
+unknown."""
 
-READY_BOUND = 3.5
-"""Age of the configuration, in seconds, from which on callers are sent elsewhere.
+MAX_READY_AGE = 3.5
+"""Age of the configuration, in seconds, from which the entry reports itself as not ready.
 
-While the store answers, the age stays below 2.7 s: two waiting calls and the time for which the
-store may be deaf."""
+While the store answers, the age stays below 2.7 s: two waiting calls plus the maximum delay of
+changes."""
 
-ANSWER_MARGIN = 0.15
-"""Seconds of a caller's time that are kept for the way of the answer, but a quarter at most."""
+RESPONSE_MARGIN = 0.15
+"""Seconds of a caller's time that are reserved for the response, but at most a quarter of it."""
 
 
 @dataclass(frozen=True, slots=True)
 class Access:
-    """A call that may go on."""
+    """A call that is authorised."""
 
     queue: Queue
     organisation: str
-    """Empty for a caller without a key on a queue that needs none."""
+    """Empty for a caller without a key on a queue that requires none."""
 
 
 class JobService:
-    """Check callers and turn their calls into reads and writes of the store."""
+    """Authorise callers and translate their calls to reads and writes of the store."""
 
     def __init__(
         self,
@@ -75,29 +76,30 @@
         self._shard = shard
         self._policies = policies
         self._revoke_bound = revoke_bound
-        """Seconds after which a withdrawn key must not work; None if only for those in touch."""
+        """Seconds after which a withdrawn key must be refused; None if that only applies while the
+        store is reachable."""
 
-        self._doubt = StoreHealth()
-        policies.on_outcome(self._note_outcome)
+        self._store_health = StoreHealth()
+        policies.on_outcome(self._record_outcome)
 
-    def _note_outcome(self, answered: bool) -> None:
-        """Learn whether the store answers from the calls that this entry makes anyway.
+    def _record_outcome(self, answered: bool) -> None:
+        """Record whether the store answers the configuration watch.
 
-        Otherwise the first job of each entry is written into a store that is away, and its caller
-        can't be told that it has not run.
+        Otherwise the first job of each entry would be written while the store is unreachable, and
+        its caller could not be told that the job has not run.
         """
         if answered:
-            self._doubt.note_answer(clock.read())
+            self._store_health.record_answer(clock.read())
         else:
-            self._doubt.note_failure()
+            self._store_health.record_failure()
 
     def body_bound(self) -> int:
-        """Return the bytes that a request body may have."""
+        """Return the maximum size of a request body in bytes."""
         policy = self._policies.policy
         return policy.body_bound if policy else 0
 
-    def basis(self, now: float) -> dict[str, object]:
-        """Return the version and age of the configuration that decides now, for log lines."""
+    def configuration_fields(self, now: float) -> dict[str, object]:
+        """Return the version and age of the configuration in force, as fields of log lines."""
         policy, age = self._policies.policy, self._policies.age(now)
         return {
             "configuration": policy.version if policy else None,
@@ -105,9 +107,9 @@
         }
 
     def is_ready(self, now: float) -> bool:
-        """Tell whether callers should be sent here."""
+        """Return whether this entry should receive callers."""
         age = self._policies.age(now)
-        return age is not None and age < READY_BOUND
+        return age is not None and age < MAX_READY_AGE
 
     def _is_fresh(self, now: float) -> bool:
         age = self._policies.age(now)
@@ -116,7 +118,7 @@
         return self._revoke_bound is None or age < self._revoke_bound - FRESHNESS_MARGIN
 
     def admit(self, host: str, path: str, key_digest: str | None, now: float) -> Access | Refusal:
-        """Check where a call goes and who makes it."""
+        """Determine the queue and the organisation of a call, or refuse it."""
         policy = self._policies.policy
         if policy is None:
             return _refuse(Reason.STARTING, retry_after=STORE_RETRY_AFTER)
@@ -133,24 +135,25 @@
         return Access(queue, owner)
 
     async def submit(self, job: Job, time_left: float) -> Refusal | None:
-        """Store a job; None once it is stored for certain.
+        """Store a job; return None once it is certainly stored.
 
         A write without an answer may be carried out seconds later. So after one the job is either
-        found to be stored, or the caller is told that nothing is known; never that it was refused.
-        It is told soon: its next try goes to another entry, which may well reach the store. While
-        the store is known to be silent no write is sent, so that the refusal is true.
+        confirmed as stored, or the caller is told that the outcome is unknown; never that the job
+        was refused. The caller is told early, since its retry goes to another entry that may reach
+        the store. While the store is known to be unresponsive no write is sent, so that a refusal
+        is correct.
         """
         data = write_job(job)
         order = Put(self._keys.order(job.job_id), data)
-        news = Put(self._keys.new_job(job.job_id), data)
-        create = Transaction(compares=[Compare(order.key, 0)], puts=[order, news])
-        if self._doubt.is_doubtful() and not await self._store_answers(order.key):
+        notice = Put(self._keys.new_job(job.job_id), data)
+        create = Transaction(compares=[Compare(order.key, 0)], puts=[order, notice])
+        if self._store_health.needs_probe() and not await self._store_answers(order.key):
             log.warning("job refused", extra={"job": job.job_id, "why": "the store is silent"})
             return _refuse(Reason.STORE_DOWN, retry_after=STORE_RETRY_AFTER)
         unknown = 0
         backoff = Backoff()
-        with anyio.move_on_after(_budget(time_left)):
-            while unknown < TRIES_IN_DOUBT:
+        with anyio.move_on_after(_store_timeout(time_left)):
+            while unknown < MAX_UNCONFIRMED_TRIES:
                 sent = clock.read()
                 try:
                     result = await self._store.transact(create)
@@ -161,10 +164,10 @@
                     unknown += 1
                 except StoreOutcomeUnknownError as error:
                     unknown += 1
-                    self._doubt.note_silence(sent, clock.read())
+                    self._store_health.record_timeout(sent, clock.read())
                     log.warning("job not confirmed", extra={"job": job.job_id, "why": str(error)})
                 else:
-                    self._doubt.note_answer(clock.read())
+                    self._store_health.record_answer(clock.read())
                     self._log_submitted(job, result.succeeded)
                     return None
                 await backoff.wait()
@@ -172,23 +175,23 @@
         return Refusal(Reason.ACCEPTANCE_UNKNOWN, Verdict.MAY_HAVE_RUN)
 
     async def _store_answers(self, key: str) -> bool:
-        """Tell by a reading of a key, which changes nothing, whether the store answers."""
+        """Return whether the store answers, determined by reading a key."""
         sent = clock.read()
-        if self._doubt.is_silent(sent):
+        if self._store_health.is_unresponsive(sent):
             return False
         try:
-            with anyio.fail_after(PROBE_BOUND):
+            with anyio.fail_after(PROBE_TIMEOUT):
                 await self._store.get(key)
         except (StoreError, TimeoutError):
-            self._doubt.note_silence(sent, clock.read())
+            self._store_health.record_timeout(sent, clock.read())
             return False
-        self._doubt.note_answer(clock.read())
+        self._store_health.record_answer(clock.read())
         return True
 
     def _log_submitted(self, job: Job, created: bool) -> None:
         fields = {"job": job.job_id, "queue": job.queue, "organisation": job.organisation}
         message = "job accepted" if created else "job known already"
-        log.info(message, extra={**fields, **self.basis(clock.read())})
+        log.info(message, extra={**fields, **self.configuration_fields(clock.read())})
 
     async def show(self, job_id: str) -> JobState | Refusal:
         """Return the state of a job."""
@@ -203,36 +206,38 @@
                 return state
             order = await self._store.get(self._keys.order(job_id))
         except (StoreError, ValueError) as error:
-            log.warning("state not read", extra={"job": job_id, "why": str(error)})
+            log.warning("job state not read", extra={"job": job_id, "why": str(error)})
             return _refuse(Reason.STORE_DOWN, retry_after=STORE_RETRY_AFTER)
         return _refuse(Reason.NO_SUCH_JOB) if order is None else JobState.QUEUED
 
     async def cancel(self, job_id: str, time_left: float) -> Refusal | None:
-        """Ask for a job to be cancelled; None once that is stored."""
+        """Request the cancellation of a job; return None once the request is stored."""
         put = Put(self._keys.cancel(job_id), b"")
         backoff = Backoff()
-        with anyio.move_on_after(_budget(time_left)):
+        with anyio.move_on_after(_store_timeout(time_left)):
             while True:
                 try:
                     if await self._store.get(self._keys.order(job_id)) is None:
                         return _refuse(Reason.NO_SUCH_JOB)
                     await self._store.transact(Transaction(puts=[put]))
                 except StoreError as error:
-                    log.warning("cancel not stored", extra={"job": job_id, "why": str(error)})
+                    log.warning("cancellation not stored", extra={"job": job_id, "why": str(error)})
                     await backoff.wait()
                     continue
-                log.info("cancel accepted", extra={"job": job_id})
+                log.info("cancellation accepted", extra={"job": job_id})
                 return None
         return Refusal(Reason.ACCEPTANCE_UNKNOWN, Verdict.MAY_HAVE_RUN)
 
     async def pending(self, queue: Queue) -> int | Refusal:
         """Return the number of a queue's jobs for which no task has started."""
         try:
-            found = await self._store.get(self._keys.pending(self._shard))
+            stored = await self._store.get(self._keys.pending(self._shard))
         except StoreError as error:
-            log.warning("counts not read", extra={"queue": queue.name, "why": str(error)})
+            log.warning(
+                "pending job counts not read", extra={"queue": queue.name, "why": str(error)}
+            )
             return _refuse(Reason.STORE_DOWN, retry_after=STORE_RETRY_AFTER)
-        counts = orjson.loads(found.value) if found else {}
+        counts = orjson.loads(stored.value) if stored else {}
         return int(counts.get(queue.name, 0))
 
 
@@ -240,6 +245,6 @@
     return Refusal(reason, Verdict.NOT_RUN, retry_after=retry_after)
 
 
-def _budget(time_left: float) -> float:
-    """Return the seconds in which the store has to answer, of those that a caller waits."""
-    return max(0.75 * time_left, time_left - ANSWER_MARGIN)
+def _store_timeout(time_left: float) -> float:
+    """Return the seconds of the caller's remaining time within which the store has to answer."""
+    return max(0.75 * time_left, time_left - RESPONSE_MARGIN)
--- a/vanillawell/coordination/leases.py
+++ b/vanillawell/coordination/leases.py
@@ -1,4 +1,4 @@
-"""Reckon with the leases of running tasks, on executors' clocks and on one's own."""
+"""Calculate the leases of running tasks on executors' clocks and on this process's clock."""
 
 from __future__ import annotations
 
@@ -9,100 +9,110 @@
     from collections.abc import Mapping
 
 TASK_LEASE = 5.0
-"""Seconds for which running tasks outlive their owner's last word.
+"""Seconds for which running tasks outlive their owner's last renewal.
 
-Longer than noticing a lost owner and taking over (2.5 s) with room for a short outage of the store;
-and short, because tasks of an executor that fell silent start elsewhere only after it."""
+Longer than detecting a lost owner and taking over (2.5 s), with a margin for a short outage of the
+store; and short, since tasks of an unresponsive executor are restarted elsewhere only after it."""
 
 CLOCK_DRIFT = 0.02
-"""Largest relative slowness of an executor's clock, as published."""
+"""Largest relative slowness of an executor's clock, as published by the platform."""
 
 LEASE_MARGIN = 0.1
-"""Seconds added to the time after which a lease is taken as expired, for rounding."""
+"""Seconds added to the time after which a lease counts as expired, for rounding."""
 
 RENEWAL_AFTER_LAPSE = 3.0
-"""Seconds for which an owner that lost touch with the store still renews what runs.
+"""Seconds for which an owner that has lost the store still renews the leases of running tasks.
 
-Nobody can take over while the store is away for all, and work should live through that: with the
-leases on both sides it does for nine seconds. But a successor has to wait this much longer before
-it gives up what an unreachable executor runs."""
+No entry can take over while the store is unreachable for all, and running tasks should survive
+that: together with the leases before and after, they do for nine seconds. In return, a new owner
+has to wait this much longer before it counts the tasks of an unreachable executor as lost."""
 
 
 REFERENCE_CLOCKS = 5
-"""Executors whose clocks are stored for successors; one of them should live on."""
+"""Number of executors whose clock readings are stored for the next owner; at least one should still
+be running then."""
 
 
-def longest_doubt(longest_lease: float, kill_grace: float) -> float:
+def max_inherited_lease(longest_lease: float, kill_grace: float) -> float:
     """Return the seconds after a take-over for which unreachable executors may still run tasks.
 
-    The former owner's last renewal, the lease it gave on a slow clock, and the kill.
+    That is the time until the previous owner's last renewal, its lease on a slow clock, and the
+    grace period for the kill.
     """
     lease = min(TASK_LEASE, longest_lease)
     return RENEWAL_AFTER_LAPSE + lease * (1 + CLOCK_DRIFT) + kill_grace + LEASE_MARGIN
 
 
 def min_elapsed(before: Mapping[str, float], present: Mapping[str, float]) -> float:
-    """Return the seconds that have surely passed since executors' clocks showed `before` at most.
+    """Return the minimum number of seconds that have passed between two sets of clock readings.
 
-    Readings are by executors' lives; `present` is what the clocks show now at least. They may be
-    slow but not fast, so the least that any of them shows counts; 0 if none is in both.
+    Clocks may be slow but not fast, so the smallest difference is a lower bound; 0 if no executor
+    is in both.
+
+    Args:
+        before: Upper bounds of the earlier readings, by incarnation of the executor.
+        present: Lower bounds of the current readings, by incarnation of the executor.
     """
-    shown = [present[life] - reading for life, reading in before.items() if life in present]
-    return max(0.0, min(shown, default=0.0))
+    differences = [
+        present[incarnation] - reading
+        for incarnation, reading in before.items()
+        if incarnation in present
+    ]
+    return max(0.0, min(differences, default=0.0))
 
 
 @dataclass(slots=True)
 class ExecutorClock:
-    """Estimate an executor's steady clock from its answers.
+    """Estimate of an executor's steady clock, based on the readings in its answers.
 
-    Each answer holds a reading that was made after the call was sent and before the answer was
-    read: much later than it was made if the answer was held up, or this process.
+    A reading was made after the call was sent and before the answer was read, possibly long before
+    it was read if the answer or this process was delayed.
     """
 
     value: float | None = None
     """Latest reading, in seconds."""
 
     read_at: float = 0.0
-    _most_ahead: float = float("inf")
-    """Seconds by which the clock is ahead of this process's at most, by all answers so far."""
+    _max_offset: float = float("inf")
+    """Maximum seconds by which the clock is ahead of this process's, given all answers so far."""
 
     def add_reading(self, value: float, sent: float, now: float) -> None:
-        """Take in a reading from the answer, read now, to a call that was sent at `sent`."""
+        """Add the reading of an answer that is read now, to a call that was sent at `sent`."""
         self.value, self.read_at = value, now
-        self._most_ahead = min(self._most_ahead, value - sent)
+        self._max_offset = min(self._max_offset, value - sent)
 
     def forget(self) -> None:
-        """Drop all readings, since the clock has begun anew."""
-        self.value, self._most_ahead = None, float("inf")
+        """Drop all readings, since the executor's clock has restarted."""
+        self.value, self._max_offset = None, float("inf")
 
     def at(self, now: float) -> float:
-        """Return what the clock shows now, or a little less; it must have been read before."""
+        """Return the estimated clock now, or slightly less; requires a reading."""
         assert self.value is not None
         return self.value + now - self.read_at
 
     def lower_bound(self, now: float) -> float:
-        """Return what the clock surely shows now; it must have been read before."""
+        """Return the minimum that the clock shows now; requires a reading."""
         assert self.value is not None
         return self.value + (now - self.read_at) * (1 - CLOCK_DRIFT)
 
     def upper_bound(self, now: float) -> float:
-        """Return what the clock shows now at most; it must have been read before."""
-        return now + self._most_ahead
+        """Return the maximum that the clock shows now; requires a reading."""
+        return now + self._max_offset
 
     def lease_end(self, now: float, lease: float) -> float:
-        """Return the executor's time at which a lease that begins now should end."""
+        """Return the time on the executor's clock at which a lease that begins now should end."""
         return self.at(now) + lease
 
     def latest_lease_end(self, now: float, lease: float) -> float:
-        """Return when such a lease has surely ended, on this process's clock."""
+        """Return the time on this process's clock by which such a lease has certainly ended."""
         return now + (lease + now - self.read_at) * (1 + CLOCK_DRIFT) - (now - self.read_at)
 
 
 class ExecutorClocks(Protocol):
-    """Read the steady clocks of executors, in seconds by their lives."""
+    """Bounds on the steady clocks of executors, in seconds by incarnation."""
 
     def lower_bound(self, now: float) -> Mapping[str, float]:
-        """Return what they surely show now."""
+        """Return the minimum that each clock shows now."""
 
     def upper_bound(self, now: float) -> Mapping[str, float]:
-        """Return what they show now at most, those that are likely to live on first."""
+        """Return the maximum that each clock shows now, executors likely to keep running first."""
--- a/vanillawell/coordination/loop_lag.py
+++ b/vanillawell/coordination/loop_lag.py
@@ -1,4 +1,4 @@
-"""Tell in the log when this process can't keep up with its work."""
+"""Log when the event loop of this process lags behind."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 log = logging.getLogger(__name__)
 
-INTERVAL = 0.25
-"""Seconds between two looks."""
+CHECK_INTERVAL = 0.25
+"""Seconds between two checks."""
 
-LATE = 0.1
-"""Seconds by which a look must come late to be told; calls take a few milliseconds."""
+LAG_THRESHOLD = 0.1
+"""Seconds by which a check has to be late to be logged; most calls take a few milliseconds."""
 
 
-async def watch(name: str) -> None:
-    """Log each look that comes late, since then everything in this process does."""
+async def monitor(name: str) -> None:
+    """Log each check that runs late, since then all tasks of this process do."""
     while True:
         began = clock.read()
-        await anyio.sleep(INTERVAL)
-        late = clock.read() - began - INTERVAL
-        if late > LATE:
+        await anyio.sleep(CHECK_INTERVAL)
+        late = clock.read() - began - CHECK_INTERVAL
+        if late > LAG_THRESHOLD:
             log.warning("process behind", extra={"while": name, "late": round(late, 3)})
--- a/vanillawell/coordination/policy_watch.py
+++ b/vanillawell/coordination/policy_watch.py
@@ -1,4 +1,4 @@
-"""Follow what operators write: the configuration in force and requests for upkeep."""
+"""Watch the documents that operators write: the configuration and requests for upkeep."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 log = logging.getLogger(__name__)
 
-PROOF_WAIT = 0.8
-"""Seconds one call waits for changes; each answer proves how fresh the configuration is.
+WATCH_TIMEOUT = 0.8
+"""Seconds that one call waits for changes; each answer confirms that the configuration is current.
 
-Withdrawn keys must stop within 5 s, and a store that is slow to tell of changes takes 1 s."""
+Withdrawn keys must be refused within 5 s, and a slow store delivers changes up to 1 s late."""
 
-DEAF_BOUND = 1.0
-"""Seconds for which the store may keep changes from those who wait for them."""
+MAX_WATCH_DELAY = 1.0
+"""Seconds by which the store may delay changes for waiting calls."""
 
 
 class PolicyWatch:
-    """Hold the newest configuration that was seen; versions never go back within a process."""
+    """The newest configuration and waves; the version never decreases within a process."""
 
     def __init__(
         self,
@@ -40,55 +40,60 @@
         self._keys = keys
         self._read_policy = read_policy
         self._read_wave = read_wave
-        self._follower = PrefixWatch(
-            store, keys.operators, PROOF_WAIT, self._take_listing, self._take_changes
+        self._watch = PrefixWatch(
+            store, keys.operators, WATCH_TIMEOUT, self._apply_listing, self._apply_changes
         )
         self._listeners: list[Callable[[], None]] = []
         self.policy: WorkPolicy | None = None
         self.waves: dict[int, Wave] = {}
         self.waves_first_seen: dict[int, float] = {}
-        """Clock of decisions at which each wave was first read of here."""
+        """Time of `clock.read` at which this entry first read each wave, by number."""
 
     def on_change(self, listener: Callable[[], None]) -> None:
-        """Call `listener` after each change."""
+        """Register a listener that is called after each change."""
         self._listeners.append(listener)
 
     def remove_listener(self, listener: Callable[[], None]) -> None:
-        """Call `listener` no more."""
+        """Unregister a listener."""
         self._listeners.remove(listener)
 
     def on_outcome(self, listener: Callable[[bool], None]) -> None:
-        """Call `listener` after each call to the store, with whether it was answered."""
-        self._follower.on_outcome(listener)
+        """Register a listener that is called after each call to the store with whether it was
+        answered."""
+        self._watch.on_outcome(listener)
 
     async def run(self) -> None:
-        """Follow until cancelled."""
-        await self._follower.run()
+        """Watch until cancelled."""
+        await self._watch.run()
 
     def age(self, now: float) -> float | None:
-        """Return the seconds since the configuration was surely the newest; None before that."""
-        proved = self._follower.proved
-        return None if proved is None or self.policy is None else now - proved + DEAF_BOUND
+        """Return the seconds since the configuration was certainly current; None before that."""
+        fresh_as_of = self._watch.fresh_as_of
+        return (
+            None
+            if fresh_as_of is None or self.policy is None
+            else now - fresh_as_of + MAX_WATCH_DELAY
+        )
 
-    def _take_listing(self, listing: Listing) -> None:
+    def _apply_listing(self, listing: Listing) -> None:
         for item in listing.items:
-            self._take(item.key, item.value)
-        self._tell()
+            self._apply(item.key, item.value)
+        self._notify()
 
-    def _take_changes(self, changes: Changes) -> None:
+    def _apply_changes(self, changes: Changes) -> None:
         for change in changes.changes:
             if change.value is not None:
-                self._take(change.key, change.value)
-        self._tell()
+                self._apply(change.key, change.value)
+        self._notify()
 
-    def _tell(self) -> None:
+    def _notify(self) -> None:
         for listener in list(self._listeners):
             listener()
 
-    def _take(self, key: str, value: bytes) -> None:
+    def _apply(self, key: str, value: bytes) -> None:
         try:
             if key == self._keys.configuration:
-                self._take_policy(self._read_policy(value))
+                self._apply_policy(self._read_policy(value))
             elif key.startswith(self._keys.waves):
                 wave = self._read_wave(value)
                 if wave.number not in self.waves:
@@ -96,9 +101,9 @@
                     self.waves_first_seen[wave.number] = clock.read()
                 self.waves[wave.number] = wave
         except ValueError as error:
-            log.error("unreadable document", extra={"key": key, "reason": str(error)})
+            log.error("operators' document unreadable", extra={"key": key, "reason": str(error)})
 
-    def _take_policy(self, policy: WorkPolicy) -> None:
+    def _apply_policy(self, policy: WorkPolicy) -> None:
         if self.policy is not None and policy.version <= self.policy.version:
             return
         self.policy = policy
--- a/vanillawell/coordination/ports.py
+++ b/vanillawell/coordination/ports.py
@@ -1,4 +1,4 @@
-"""Name everything outside that the scheduler talks to."""
+"""Define the external services that the scheduler depends on."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformKeys:
-    """Where the documents of others lie in the store."""
+    """Keys and prefixes in the store of documents shared with the platform."""
 
     configuration: str
     """Key of the operators' configuration."""
 
     operators: str
-    """Prefix of everything that operators write."""
+    """Prefix of all documents that operators write."""
 
     waves: str
     """Prefix of requests for upkeep."""
@@ -33,31 +33,31 @@
     """Prefix of the registry of executors."""
 
     wave_states: str
-    """Prefix under which operators look for the state of a wave."""
+    """Prefix under which the state of each wave is published for operators."""
 
 
 @dataclass(frozen=True, slots=True)
 class DocumentCodec:
-    """Read and write the documents that others keep in the store.
+    """Readers and writers of the documents in the store that are shared with the platform.
 
-    Each reader raises ValueError if the bytes are no such document.
+    Each reader raises ValueError if the bytes are not such a document.
     """
 
     policy: Callable[[bytes], WorkPolicy]
     wave: Callable[[bytes], Wave]
     executor: Callable[[str, bytes], ExecutorFacts]
-    """Read an executor's entry in the registry, from its key and its value."""
+    """Read an executor's registration from its key and value."""
 
     write_wave_state: Callable[[int, bool], bytes]
-    """Write a wave's state for operators, from its number and whether it is completed."""
+    """Write the state of a wave for operators from its number and whether it is completed."""
 
     keys: PlatformKeys
-    """Where these documents lie."""
+    """Keys of these documents."""
 
 
 @dataclass(frozen=True, slots=True)
 class Ports:
-    """Everything outside that the scheduler talks to."""
+    """External services that the scheduler depends on."""
 
     store: FollowedStore
     executors: ExecutorCalls
--- a/vanillawell/coordination/prefix_watch.py
+++ b/vanillawell/coordination/prefix_watch.py
@@ -1,4 +1,4 @@
-"""Follow all keys under a prefix of the store, and know how fresh that knowledge is."""
+"""Watch all keys under a prefix of the store and track how fresh the known state is."""
 
 from __future__ import annotations
 
@@ -18,39 +18,40 @@
 
 log = logging.getLogger(__name__)
 
-FIRST_PAUSE = 0.1
-"""Seconds before the store is asked again after a failure; calls are priced, refused ones too."""
+MIN_RETRY_DELAY = 0.1
+"""Seconds before the first retry after a failure; each call to the store costs, even a refused
+one."""
 
-LONGEST_PAUSE = 0.8
-"""Seconds between two tries while the store stays away; the pause doubles up to this."""
+MAX_RETRY_DELAY = 0.8
+"""Maximum seconds between two tries while the store is unreachable; the delay doubles up to it."""
 
 
 class Backoff:
-    """Grow the pause between tries while something stays away."""
+    """Exponential backoff between tries."""
 
     def __init__(self) -> None:
-        self._pause = FIRST_PAUSE
+        self._delay = MIN_RETRY_DELAY
 
     async def wait(self) -> None:
-        """Wait, longer each time."""
-        await anyio.sleep(self._pause)
-        self._pause = min(2 * self._pause, LONGEST_PAUSE)
+        """Wait for the current delay, then double it."""
+        await anyio.sleep(self._delay)
+        self._delay = min(2 * self._delay, MAX_RETRY_DELAY)
 
     def reset(self) -> None:
-        """Begin with the shortest pause again."""
-        self._pause = FIRST_PAUSE
+        """Reset the delay to its minimum."""
+        self._delay = MIN_RETRY_DELAY
 
 
-def no_pause() -> float:
-    """Return how long a follower rests whose every change is urgent, in seconds."""
+def no_interval() -> float:
+    """Return the interval in seconds for a watch whose changes are all urgent."""
     return 0.0
 
 
 class PrefixWatch:
-    """Read a prefix once, then every change under it.
+    """List a prefix once, then receive every change under it.
 
-    A waiting call may stay silent for good on a connection that the path has lost track of, so
-    each call waits only `wait` seconds, and its answer proves how fresh this knowledge is.
+    A waiting call may never be answered on a connection whose state the network path has dropped.
+    So each call waits only `wait` seconds, and its answer shows how fresh the known state is.
     """
 
     def __init__(
@@ -69,37 +70,41 @@
         self._revision: int | None = None
         self._reachable = True
         self._listeners: list[Callable[[bool], None]] = []
-        self.proved: float | None = None
-        """Clock of decisions up to which everything that was written is known."""
+        self.fresh_as_of: float | None = None
+        """Time of `clock.read` up to which all writes are known; None before the first answer."""
 
     def on_outcome(self, listener: Callable[[bool], None]) -> None:
-        """Call `listener` after each call to the store, with whether it was answered."""
+        """Register a listener that is called after each call to the store with whether it was
+        answered."""
         self._listeners.append(listener)
 
-    async def run(self, pause: Callable[[], float] = no_pause) -> None:
-        """Follow until cancelled; rest for as long as `pause` says after each answer."""
+    async def run(self, interval: Callable[[], float] = no_interval) -> None:
+        """Watch until cancelled, with a wait of `interval()` seconds after each answer."""
         backoff = Backoff()
         while True:
             sent = clock.read()
             try:
-                await self._step()
+                await self._poll()
             except HistoryGoneError:
-                log.info("history gone, listing again", extra={"prefix": self._prefix})
+                log.info("store history compacted, listing again", extra={"prefix": self._prefix})
                 self._revision = None
             except StoreError as error:
-                self._note(False, str(error))
+                self._report_outcome(False, str(error))
                 await backoff.wait()
             else:
-                self.proved = sent
-                self._note(True, "")
+                self.fresh_as_of = sent
+                self._report_outcome(True, "")
                 backoff.reset()
-                await anyio.sleep(pause())
+                await anyio.sleep(interval())
 
     async def refresh(self) -> None:
-        """Read the prefix again now; raises StoreError.
+        """List the prefix again now, since the store may deliver changes to a watch late.
 
-        The store may keep changes from those who wait for them. A reading that is older than what
-        was heard meanwhile is left out, or it would take news back.
+        A listing that is older than the changes received meanwhile is ignored, since it would
+        revert them.
+
+        Raises:
+            StoreError: The store did not answer.
         """
         listing = await self._store.list(self._prefix)
         if self._revision is None or listing.revision < self._revision:
@@ -107,36 +112,38 @@
         self._revision = listing.revision
         self._on_listing(listing)
 
-    async def _step(self) -> None:
+    async def _poll(self) -> None:
         if self._revision is None:
             listing = await self._store.list(self._prefix)
             self._revision = listing.revision
             self._on_listing(listing)
             return
-        asked_from = self._revision
-        changes = await self._store.changes(self._prefix, asked_from, self._wait)
+        requested_from = self._revision
+        changes = await self._store.changes(self._prefix, requested_from, self._wait)
         if not changes.changes:
-            # The store may keep changes back and yet name their revision; asked from the same one
-            # as before, it tells them once it can be heard again.
+            # The store may withhold changes and yet return their revision. Requested again from the
+            # previous revision, it delivers them later.
             return
-        if self._revision > asked_from:
-            changes = self._without_known(changes)
+        if self._revision > requested_from:
+            changes = self._drop_known(changes)
         self._revision = max(self._revision, changes.revision)
         if changes.changes:
             self._on_changes(changes)
 
-    def _without_known(self, changes: Changes) -> Changes:
-        """Leave out changes that a reading made meanwhile holds already."""
+    def _drop_known(self, changes: Changes) -> Changes:
+        """Drop changes that are contained in a listing made meanwhile."""
         known = self._revision or 0
         newer = tuple(item for item in changes.changes if item.mod_revision > known)
         return replace(changes, changes=newer)
 
-    def _note(self, reachable: bool, reason: str) -> None:
+    def _report_outcome(self, reachable: bool, reason: str) -> None:
         for listener in self._listeners:
             listener(reachable)
         if reachable == self._reachable:
             return
         self._reachable = reachable
         fields = {"dependency": "store", "prefix": self._prefix, "reason": reason}
-        fields["age"] = str(round(clock.read() - self.proved, 3)) if self.proved else "never"
+        fields["age"] = (
+            str(round(clock.read() - self.fresh_as_of, 3)) if self.fresh_as_of else "never"
+        )
         log.warning("dependency regained" if reachable else "dependency lost", extra=fields)
--- a/vanillawell/coordination/registry.py
+++ b/vanillawell/coordination/registry.py
@@ -1,4 +1,4 @@
-"""Follow the registry in which executors say who and where they are."""
+"""Watch the registry in which executors publish their address and state."""
 
 from __future__ import annotations
 
@@ -21,61 +21,61 @@
 
 log = logging.getLogger(__name__)
 
-FOLLOW_WAIT = 2.0
-"""Seconds one call waits for changes of executors."""
+WATCH_TIMEOUT = 2.0
+"""Seconds that one call to the store waits for changes of the registry."""
 
 
-LOOK_PAUSE = 0.25
-"""Seconds between two readings of the registry while a machine should have come."""
+POLL_INTERVAL = 0.25
+"""Seconds between two listings of the registry while a machine is expected to register."""
 
-REST = 0.2
-"""Seconds between two calls for changes while no machine should come.
+BATCH_INTERVAL = 0.2
+"""Seconds between two calls for changes while no machine is expected.
 
-Each executor writes its entry anew every second or two though nothing has changed; asked for one by
-one, these writes cost a fleet's owner hundreds of calls a second."""
+Each executor rewrites its registration every second or two even if nothing has changed. Requested
+one by one, these writes would cost the owner of a large fleet hundreds of calls a second."""
 
 
 class RegistryWatch:
-    """Tell a shard what executors say of themselves."""
+    """Apply the registrations of executors to a shard."""
 
     def __init__(self, ports: Ports, prefix: str, shard: Shard, wake: Callable[[], None]) -> None:
         self._read = ports.documents.executor
         self._prefix = prefix
         self._shard = shard
         self._wake = wake
-        self._follower = PrefixWatch(
-            ports.store, prefix, FOLLOW_WAIT, self._take_listing, self._take_changes
+        self._watch = PrefixWatch(
+            ports.store, prefix, WATCH_TIMEOUT, self._apply_listing, self._apply_changes
         )
         self._listed = anyio.Event()
 
-    async def known(self) -> None:
-        """Wait until all executors were read once.
+    async def wait_until_listed(self) -> None:
+        """Wait until all registrations have been read once.
 
-        Before that a machine in use looks as if nothing lived on it.
+        Before that, a machine in use looks as if no executor ran on it.
         """
         await self._listed.wait()
 
-    async def run(self, expects: Callable[[float], bool]) -> None:
-        """Follow until cancelled, at once while `expects` says that a machine should have come."""
-        await self._follower.run(lambda: 0.0 if expects(clock.read()) else REST)
+    async def run(self, expects_machine: Callable[[float], bool]) -> None:
+        """Watch until cancelled, without batching while `expects_machine` returns true."""
+        await self._watch.run(lambda: 0.0 if expects_machine(clock.read()) else BATCH_INTERVAL)
 
-    async def look(self, expects: Callable[[float], bool]) -> None:
-        """Read the registry itself while `expects` says that a machine should have come.
+    async def poll(self, expects_machine: Callable[[float], bool]) -> None:
+        """List the registry regularly while `expects_machine` returns true.
 
-        The store may tell nobody of changes for a second or two. In the middle of a peak twenty
-        machines then stood idle for two seconds after they had come, and all callers of those
-        seconds were late.
+        The store may deliver changes a second or two late. During a load peak, twenty machines were
+        idle for two seconds after their arrival for this reason, and all requests of those seconds
+        missed their deadlines.
         """
         while True:
-            await anyio.sleep(LOOK_PAUSE)
-            if not expects(clock.read()):
+            await anyio.sleep(POLL_INTERVAL)
+            if not expects_machine(clock.read()):
                 continue
             try:
-                await self._follower.refresh()
+                await self._watch.refresh()
             except StoreError as error:
-                log.debug("registry not read", extra={"why": str(error)})
+                log.debug("executor registry not read", extra={"why": str(error)})
 
-    def _take_listing(self, listing: Listing) -> None:
+    def _apply_listing(self, listing: Listing) -> None:
         present = {item.key.removeprefix(self._prefix) for item in listing.items}
         for name in self._shard.ledger.tracked_registrations() - present:
             self._unregister(name)
@@ -84,23 +84,23 @@
         self._listed.set()
         self._wake()
 
-    def _take_changes(self, changes: Changes) -> None:
-        news = False
+    def _apply_changes(self, changes: Changes) -> None:
+        changed = False
         for change in changes.changes:
             if change.value is None:
                 self._unregister(change.key.removeprefix(self._prefix))
-                news = True
+                changed = True
             elif self._register(change.key, change.value):
-                news = True
-        if news:
+                changed = True
+        if changed:
             self._wake()
 
     def _register(self, key: str, value: bytes) -> bool:
-        """Take in an entry; tells whether it says anything new."""
+        """Apply a registration and return whether it contains anything new."""
         try:
             facts = self._read(key, value)
         except ValueError as error:
-            log.error("unreadable executor", extra={"key": key, "reason": str(error)})
+            log.error("executor registration unreadable", extra={"key": key, "reason": str(error)})
             return False
         if self._shard.ledger.is_terminated(facts):
             return False
--- a/vanillawell/coordination/renewed_lease.py
+++ b/vanillawell/coordination/renewed_lease.py
@@ -1,4 +1,4 @@
-"""Keep a lease of the store up though single answers to its renewals are late or lost."""
+"""Renew a lease of the store although single answers may be late or lost."""
 
 from __future__ import annotations
 
@@ -17,35 +17,35 @@
 
 log = logging.getLogger(__name__)
 
-RENEWALS = 3
-"""Renewals in the time of one lease."""
+RENEWALS_PER_TTL = 3
+"""Renewals sent within the duration of one lease."""
 
-DOUBT = 0.3
-"""Seconds without an answer after which another renewal is sent beside the one in doubt."""
+RENEWAL_RETRY_DELAY = 0.3
+"""Seconds without an answer after which another renewal is sent in parallel."""
 
-RENEWALS_AT_ONCE = 4
-"""Renewals under way at a time; their answers are waited for longer than the lease may last."""
+MAX_PENDING_RENEWALS = 4
+"""Maximum number of pending renewals; the timeout of their calls exceeds the lease duration."""
 
 
 class RenewedLease:
-    """One lease of the store, and until when it surely holds.
+    """A lease of the store and the time until which it is certainly valid.
 
-    A confirmed renewal counts from its sending, however late its answer comes: the store carried it
-    out after that. One without an answer counts for nothing.
+    A confirmed renewal counts from the time it was sent, however late its answer arrives, since the
+    store carried it out after that. A renewal without an answer does not count.
     """
 
     def __init__(self, store: FollowedStore, number: int, ttl: float, granted: float) -> None:
-        """Take the lease's id, the seconds it lasts, and when its grant was sent."""
+        """Create a lease from its id, its duration in seconds, and when its grant was requested."""
         self._store = store
         self._number = number
         self._ttl = ttl
-        self._confirmed = granted
-        """When the latest renewal was sent that is known to have been carried out."""
-        self._sent = granted
-        self._under_way: set[float] = set()
-        """When the renewals were sent that have no answer yet."""
-        self._ended = ""
-        """Why it is not renewed any more; empty while it is."""
+        self._confirmed_at = granted
+        """Time at which the latest confirmed renewal was sent."""
+        self._last_sent = granted
+        self._pending: set[float] = set()
+        """Times at which the renewals without an answer were sent."""
+        self._end_reason = ""
+        """Reason why the lease is no longer renewed; empty while it is renewed."""
         self._answered = anyio.Event()
 
     @property
@@ -54,40 +54,40 @@
         return self._number
 
     def is_held(self, now: float) -> bool:
-        """Tell whether it can't have ended yet, by this process's clock."""
-        return now < self._confirmed + self._ttl
+        """Return whether the lease cannot have expired yet, by this process's clock."""
+        return now < self._confirmed_at + self._ttl
 
     def lapsed_for(self, now: float) -> float:
-        """Return the seconds since it may have ended; negative while it holds."""
-        return now - self._confirmed - self._ttl
+        """Return the seconds since the lease may have expired; negative while it is valid."""
+        return now - self._confirmed_at - self._ttl
 
-    async def await_hold(self) -> None:
-        """Wait for renewals under way unless it is held without them."""
-        while self._under_way and not self._ended and not self.is_held(clock.read()):
+    async def wait_until_held(self) -> None:
+        """Wait for pending renewals while the lease is not certainly valid without them."""
+        while self._pending and not self._end_reason and not self.is_held(clock.read()):
             await self._answered.wait()
 
-    def let_go(self, reason: str) -> None:
-        """Renew it no more."""
-        self._ended = reason
+    def stop_renewing(self, reason: str) -> None:
+        """Stop renewing the lease, for this reason."""
+        self._end_reason = reason
 
-    async def keep(self) -> str:
-        """Renew it until it has ended for certain or is let go; returns why.
+    async def renew_until_ended(self) -> str:
+        """Renew the lease until it has certainly expired or renewal is stopped; return the reason.
 
-        Broken off, this drops the answers that are under way; begun again, it counts from the
-        latest renewal that was confirmed.
+        Cancellation drops pending answers. When called again, renewal continues from the latest
+        confirmed one.
         """
-        self._under_way.clear()
-        self._sent = self._confirmed
+        self._pending.clear()
+        self._last_sent = self._confirmed_at
         async with anyio.create_task_group() as calls:
-            while not self._ended:
+            while not self._end_reason:
                 await self._wait_until_due()
-                if not self._ended:
+                if not self._end_reason:
                     self._send(calls)
             calls.cancel_scope.cancel()
-        return self._ended
+        return self._end_reason
 
     async def _wait_until_due(self) -> None:
-        while not self._ended:
+        while not self._end_reason:
             left = self._due() - clock.read()
             if left <= 0:
                 return
@@ -95,26 +95,29 @@
                 await self._answered.wait()
 
     def _due(self) -> float:
-        """Return the clock of decisions at which the next renewal is to be sent."""
-        if len(self._under_way) >= RENEWALS_AT_ONCE:
+        """Return the time of `clock.read` at which the next renewal is due."""
+        if len(self._pending) >= MAX_PENDING_RENEWALS:
             return float("inf")
-        if self._is_in_doubt():
-            return self._sent + DOUBT
-        return self._sent + self._ttl / RENEWALS
+        if self._is_latest_pending():
+            return self._last_sent + RENEWAL_RETRY_DELAY
+        return self._last_sent + self._ttl / RENEWALS_PER_TTL
 
-    def _is_in_doubt(self) -> bool:
-        return self._sent in self._under_way
+    def _is_latest_pending(self) -> bool:
+        return self._last_sent in self._pending
 
     def _send(self, calls: TaskGroup) -> None:
-        """Send a renewal; over a new connection if the one before it has no answer, since the path
-        may have lost track of all that are open."""
-        in_doubt, now = self._is_in_doubt(), clock.read()
-        if in_doubt:
-            fields = {"waiting": len(self._under_way), "lapsed": round(self.lapsed_for(now), 3)}
+        """Send a renewal.
+
+        It uses a new connection if the previous renewal has no answer, since the network path may
+        have dropped the state of all open connections.
+        """
+        latest_pending, now = self._is_latest_pending(), clock.read()
+        if latest_pending:
+            fields = {"waiting": len(self._pending), "lapsed": round(self.lapsed_for(now), 3)}
             log.warning("renewal unanswered", extra=fields)
-        self._sent = now
-        self._under_way.add(now)
-        calls.start_soon(self._renew, now, in_doubt)
+        self._last_sent = now
+        self._pending.add(now)
+        calls.start_soon(self._renew, now, latest_pending)
 
     async def _renew(self, sent: float, fresh: bool) -> None:
         try:
@@ -124,10 +127,10 @@
             log.warning("lease not renewed", extra={"lapsed": lapsed, "why": str(error)})
         else:
             if alive:
-                self._confirmed = max(self._confirmed, sent)
+                self._confirmed_at = max(self._confirmed_at, sent)
             else:
-                self._ended = self._ended or "the lease has ended"
+                self._end_reason = self._end_reason or "the lease has expired"
         finally:
-            self._under_way.discard(sent)
+            self._pending.discard(sent)
             self._answered.set()
             self._answered = anyio.Event()
--- a/vanillawell/coordination/shard_claim.py
+++ b/vanillawell/coordination/shard_claim.py
@@ -1,4 +1,4 @@
-"""Write that a shard is taken, and learn in time whether it is."""
+"""Write the claim to a shard and determine in time whether it took effect."""
 
 from __future__ import annotations
 
@@ -16,67 +16,74 @@
 
 log = logging.getLogger(__name__)
 
-PATIENCE = 0.5
-"""Seconds without an answer after which the write is sent once more; a slow store takes 0.4."""
+RETRY_DELAY = 0.5
+"""Seconds without an answer after which the write is sent again; a slow store takes 0.4 s."""
 
-TRIES = 3
-"""Times that the write is sent."""
+MAX_TRIES = 3
+"""Maximum number of times that the write is sent."""
 
-CLAIM_BOUND = 2.0
-"""Seconds after which an entry that could not learn whether it has the shard gives it up."""
+CLAIM_TIMEOUT = 2.0
+"""Seconds after which an entry abandons a claim whose outcome is still unknown."""
 
 
 class ShardClaim:
-    """One write that takes a shard, sent again until an answer tells its outcome.
+    """One write that takes a shard, repeated until an answer confirms its outcome.
 
-    It requires the revision of the key that it replaces, so it takes effect once at most, and a try
-    that finds its own value there tells that an earlier one did. That value has to be written by no
-    other claim. The lease is renewed meanwhile: an outcome that is known as it ends is worth
-    nothing.
+    The write requires the revision of the key that it replaces, so it takes effect at most once. A
+    try that finds its own value there proves that an earlier try took effect; no other claim may
+    write the same value. The lease is renewed meanwhile, since ownership is of no use once the
+    lease has expired.
     """
 
     def __init__(
-        self, store: FollowedStore, lease: RenewedLease, transaction: Transaction, proof: Put
+        self, store: FollowedStore, lease: RenewedLease, transaction: Transaction, marker: Put
     ) -> None:
-        """Take the write, and the key and value by which one that took effect is known."""
+        """Create a claim.
+
+        Args:
+            store: Store to write to.
+            lease: Lease that the transaction attaches to the holder key.
+            transaction: The write that takes the shard.
+            marker: One put of the transaction; its key and value show that the write took effect.
+        """
         self._store = store
         self._lease = lease
         self._transaction = transaction
-        self._proof = proof
+        self._marker = marker
         self._result: TransactionResult | None = None
         self._failure: StoreError = StoreOutcomeUnknownError("not known whether the shard is taken")
-        self._in_doubt = 0
-        """Tries that may have been carried out, or may be yet."""
-        self._decided = anyio.Event()
+        self._unresolved_tries = 0
+        """Number of tries that may have taken effect or may still do so."""
+        self._settled = anyio.Event()
 
     async def settle(self) -> TransactionResult:
-        """Return whether the shard was taken, and the revision at which; if not, what is there.
+        """Return whether the shard was taken, and at which revision; if not, the stored values.
 
         Raises:
-            StoreUnavailableError: The shard was not taken, nor will be.
-            StoreOutcomeUnknownError: It may be taken, or may be yet, for as long as the lease
-                lasts. It is renewed no more.
+            StoreUnavailableError: The shard was not taken and will not be.
+            StoreOutcomeUnknownError: The shard may be taken now or later, until the lease expires.
+                The lease is no longer renewed.
         """
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._keep_lease)
-            with anyio.move_on_after(CLAIM_BOUND):
-                for _ in range(TRIES):
-                    self._in_doubt += 1
+            tasks.start_soon(self._renew_lease)
+            with anyio.move_on_after(CLAIM_TIMEOUT):
+                for _ in range(MAX_TRIES):
+                    self._unresolved_tries += 1
                     tasks.start_soon(self._try)
-                    with anyio.move_on_after(PATIENCE):
-                        await self._decided.wait()
+                    with anyio.move_on_after(RETRY_DELAY):
+                        await self._settled.wait()
                         break
-                    log.warning("claim unanswered", extra={"key": self._proof.key})
-                await self._decided.wait()
+                    log.warning("claim unanswered", extra={"key": self._marker.key})
+                await self._settled.wait()
                 if self._result is not None and self._result.succeeded:
-                    await self._lease.await_hold()
+                    await self._lease.wait_until_held()
             tasks.cancel_scope.cancel()
         if self._result is None:
             raise self._failure
         return self._result
 
-    async def _keep_lease(self) -> None:
-        self._fail(LeaseEndedError(await self._lease.keep()))
+    async def _renew_lease(self) -> None:
+        self._fail(LeaseEndedError(await self._lease.renew_until_ended()))
 
     async def _try(self) -> None:
         try:
@@ -84,20 +91,20 @@
         except StoreOutcomeUnknownError as error:
             log.warning("claim not confirmed", extra={"why": str(error)})
         except StoreError as error:
-            self._in_doubt -= 1
-            if isinstance(error, LeaseEndedError) or not self._in_doubt:
+            self._unresolved_tries -= 1
+            if isinstance(error, LeaseEndedError) or not self._unresolved_tries:
                 self._fail(error)
         else:
-            self._result = self._without_doubt(result)
-            self._decided.set()
+            self._result = self._combined_result(result)
+            self._settled.set()
 
     def _fail(self, error: StoreError) -> None:
         self._failure = error
-        self._decided.set()
+        self._settled.set()
 
-    def _without_doubt(self, result: TransactionResult) -> TransactionResult:
-        """Return the outcome of all tries by the answer to one of them."""
-        found = result.values.get(self._proof.key)
-        if not result.succeeded and found is not None and found.value == self._proof.value:
-            return TransactionResult(True, found.mod_revision)
+    def _combined_result(self, result: TransactionResult) -> TransactionResult:
+        """Return the outcome of all tries, given the answer to one of them."""
+        stored = result.values.get(self._marker.key)
+        if not result.succeeded and stored is not None and stored.value == self._marker.value:
+            return TransactionResult(True, stored.mod_revision)
         return result
--- a/vanillawell/coordination/shard_owner.py
+++ b/vanillawell/coordination/shard_owner.py
@@ -1,4 +1,4 @@
-"""Own a shard for one term: load it, decide in turns, store, then act."""
+"""Own a shard for one term: load its jobs, then run scheduling cycles (decide, store, act)."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 from vanillawell.coordination.driver_clocks import DriverClocks
 from vanillawell.coordination.executor_driver import ExecutorDriver
 from vanillawell.coordination.executor_link import ExecutorLink
-from vanillawell.coordination.hand_over import renew_once, store_last_bounds
+from vanillawell.coordination.hand_over import renew_healthy_executors, store_final_bounds
 from vanillawell.coordination.inbox import Inbox
 from vanillawell.coordination.inherited_orders import InheritedOrders
 from vanillawell.coordination.lease_manager import LeaseManager
-from vanillawell.coordination.leases import longest_doubt
+from vanillawell.coordination.leases import max_inherited_lease
 from vanillawell.coordination.loss_detector import LossDetector, log_unreached_executors
 from vanillawell.coordination.machine_orders import MachineOrders
 from vanillawell.coordination.pool_rebalancer import PoolRebalancer
@@ -54,15 +54,17 @@
 
 log = logging.getLogger(__name__)
 
-QUIET_TURN = 0.25
-"""Seconds after which the owner looks again without any news: for leases and due times."""
+MAX_CYCLE_INTERVAL = 0.25
+"""Maximum seconds between two scheduling cycles without a wake-up, to handle expired leases and due
+times."""
 
-SLOW_TURN = 0.3
-"""Seconds from which a turn is told in the log; callers wait that long for what it decides."""
+SLOW_CYCLE_THRESHOLD = 0.3
+"""Seconds from which a scheduling cycle is logged as slow; callers wait that long for its
+decisions."""
 
 
 class ShardOwner:
-    """Run a shard from the moment it was taken until it is lost or given up."""
+    """Run a shard from its take-over until it is lost or released."""
 
     def __init__(
         self,
@@ -89,73 +91,86 @@
         self._leases = LeaseManager(
             keys.lease_bounds(name),
             term.token,
-            term.former_bounds,
-            longest_doubt(self._bounds.lease_most_ms / 1000, self._bounds.kill_grace_ms / 1000),
+            term.inherited_bounds,
+            max_inherited_lease(
+                self._bounds.lease_most_ms / 1000, self._bounds.kill_grace_ms / 1000
+            ),
             self._clocks,
         )
-        self._news = anyio.Event()
+        self._wake_event = anyio.Event()
         self._placing = True
-        self._published: dict[str, int] | None = None
+        self._published_pending: dict[str, int] | None = None
         self._stored_queues: dict[str, Queue] = {}
         self._inbox = Inbox(ports.store, keys, self._shard, self.wake)
-        self._former_orders = InheritedOrders(self._shard, self.wake)
+        self._inherited_orders = InheritedOrders(self._shard, self.wake)
         self.loaded = False
-        """Whether all jobs of former terms have been read."""
+        """Whether all jobs of previous terms have been read."""
 
     @property
     def shard(self) -> Shard:
-        """Return the decisions' state."""
+        """Return the scheduling state."""
         return self._shard
 
     def wake(self) -> None:
-        """Take another turn soon."""
-        self._news.set()
+        """Request another scheduling cycle."""
+        self._wake_event.set()
 
     def stop_placing(self) -> None:
-        """Decide on no further starts, since another entry will take over."""
+        """Place no more tasks, since another entry will take over."""
         self._placing = False
 
-    async def store_last_word(self, until: float) -> bool:
-        """Extend no lease any more, and try once to store for the next owner how long each may
-        still hold, by `until` on the clock of decisions; tells whether that was done.
+    async def prepare_hand_over(self, until: float) -> bool:
+        """Stop extending leases and try once to store how long each may still be held.
 
-        Nothing is placed meanwhile, since leases of starts couldn't be extended either. An owner
-        that has not said its last word goes on: its next turn replaces one that may be stored.
+        The next owner needs this document. No task is placed meanwhile, since the lease of a new
+        run could not be extended. If the write fails or its outcome is unknown, the owner continues
+        and its next scheduling cycle replaces the document.
+
+        Args:
+            until: Time of `clock.read` by which the document has to be stored.
+
+        Returns:
+            Whether the final lease document is stored.
         """
         if self._leases.is_handed_over:
             return True
         self.stop_placing()
         try:
-            unanswered = await renew_once(self._drivers.values())
+            unanswered = await renew_healthy_executors(self._drivers.values())
             executors = self._shard.ledger.executors
-            return await store_last_bounds(self._term, self._leases, executors, until, unanswered)
+            return await store_final_bounds(self._term, self._leases, executors, until, unanswered)
         finally:
             self._placing = not self._leases.is_handed_over
             self.wake()
 
     def _draft_bounds(self) -> list[Put]:
-        """Return the write of the bounds of leases, if there is one."""
+        """Return the write that updates the stored lease bounds, if they have to change."""
         put = self._leases.draft(self._shard.ledger.executors.values(), clock.read())
         return [] if put is None else [put]
 
     async def run(self) -> None:
-        """Own the shard until cancelled; raises TermLostError or DeposedError when it is lost."""
+        """Own the shard until cancelled.
+
+        Raises:
+            TermLostError: Another entry has taken the shard over, or the lease has expired.
+            DeposedError: An executor has seen a higher fencing token.
+        """
         self._apply_policy()
         self._policies.on_change(self._apply_policy)
         try:
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self._term.keep)
+                tasks.start_soon(self._term.renew_until_lost)
                 await self._load()
                 self._leases.begin(clock.read())
                 self.loaded = True
                 self._start_tasks(tasks)
-                await self._take_turns(tasks)
+                await self._run_cycles(tasks)
         finally:
             self._policies.remove_listener(self._apply_policy)
 
     def _start_tasks(self, tasks: TaskGroup) -> None:
         tasks.start_soon(log_unreached_executors, self._shard, self._term.token)
-        tasks.start_soon(loop_lag.watch, "owner")
+        tasks.start_soon(loop_lag.monitor, "owner")
         registry = RegistryWatch(
             self._ports, self._ports.documents.keys.executors, self._shard, self.wake
         )
@@ -183,28 +198,28 @@
         losses = LossDetector(self._shard, self._ports.machines, self.wake)
         tasks.start_soon(losses.run)
         tasks.start_soon(self._inbox.run)
-        tasks.start_soon(self._former_orders.run, orders)
+        tasks.start_soon(self._inherited_orders.run, orders)
 
-        def expects(now: float) -> bool:
+        def expects_machine(now: float) -> bool:
             return pools.expects(now) or upkeep.expects(now)
 
-        async def known() -> None:
-            await registry.known()
-            await self._former_orders.known()
+        async def wait_until_loaded() -> None:
+            await registry.wait_until_listed()
+            await self._inherited_orders.wait_until_loaded()
 
-        tasks.start_soon(registry.run, expects)
-        tasks.start_soon(registry.look, expects)
-        tasks.start_soon(_run_after, known, upkeep.run)
-        tasks.start_soon(_run_after, known, pools.run)
+        tasks.start_soon(registry.run, expects_machine)
+        tasks.start_soon(registry.poll, expects_machine)
+        tasks.start_soon(_run_after, wait_until_loaded, upkeep.run)
+        tasks.start_soon(_run_after, wait_until_loaded, pools.run)
         tasks.start_soon(self._stops.run)
         drains = DrainRunner(self._shard, self._term, self._bounds.kill_grace_ms / 1000, self.wake)
-        tasks.start_soon(_run_after, known, drains.run)
+        tasks.start_soon(_run_after, wait_until_loaded, drains.run)
         if self._ports.advice is not None:
-            desk = AdviceRequester(self._shard, self._ports.advice, self.wake)
-            tasks.start_soon(desk.run)
+            advice_requester = AdviceRequester(self._shard, self._ports.advice, self.wake)
+            tasks.start_soon(advice_requester.run)
 
     async def _load(self) -> None:
-        """Read all jobs and their records, as the former owners left them."""
+        """Read all jobs and job records that previous owners stored."""
         backoff = Backoff()
         while True:
             try:
@@ -216,23 +231,23 @@
                 await backoff.wait()
         self._restore(orders, records)
         if self._shard.lacks_queue_rules():
-            await self._recall_queues()
+            await self._restore_queue_rules()
 
-    async def _recall_queues(self) -> None:
-        """Read the rules of queues with jobs that the configuration does not hold any more."""
+    async def _restore_queue_rules(self) -> None:
+        """Read the stored rules of queues that have jobs but are no longer configured."""
         backoff = Backoff()
         while True:
             try:
-                found = await self._ports.store.get(self._keys.queues(self._name))
+                stored = await self._ports.store.get(self._keys.queues(self._name))
                 break
             except StoreError as error:
                 log.warning("rules of queues not read", extra={"why": str(error)})
                 await backoff.wait()
-        if found is None:
+        if stored is None:
             log.warning("no rules of queues stored", extra={"token": self._term.token})
             return
         try:
-            queues = read_queues(found.value)
+            queues = read_queues(stored.value)
         except ValueError as error:
             log.error("rules of queues unreadable", extra={"why": str(error)})
             return
@@ -241,73 +256,73 @@
 
     def _restore(self, orders: Listing, records: Listing) -> None:
         now = clock.read()
-        known = {item.key: item.value for item in records.items}
-        recalled = 0
+        values = {item.key: item.value for item in records.items}
+        inherited_runs = 0
         for item in orders.items:
             job_id = item.key.removeprefix(self._keys.orders_of_callers)
-            data = known.get(self._keys.record(job_id))
+            data = values.get(self._keys.record(job_id))
             if data is None:
-                continue  # it is still in the inbox, which is read next
+                continue  # the job is still in the inbox, which is read next
             try:
                 record, runs = read_record(read_job(item.value), data, now, time.time())
             except ValueError as error:
-                log.error("unreadable job", extra={"job": job_id, "reason": str(error)})
+                log.error("job document unreadable", extra={"job": job_id, "reason": str(error)})
                 continue
-            recalled += len(runs)
-            bound = functools.partial(self._leases.recalled_bound, now=now)
+            inherited_runs += len(runs)
+            bound = functools.partial(self._leases.inherited_bound, now=now)
             self._shard.restore(record, runs, bound)
         jobs = len(self._shard.job_table.jobs)
         fields = {"shard": self._name, "token": self._term.token}
-        log.info("shard loaded", extra={**fields, "jobs": jobs, "runs": recalled})
+        log.info("shard loaded", extra={**fields, "jobs": jobs, "runs": inherited_runs})
 
     def _apply_policy(self) -> None:
         if self._policies.policy is not None:
             self._shard.apply_policy(self._policies.policy)
         self.wake()
 
-    async def _take_turns(self, tasks: TaskGroup) -> None:
-        """Decide, store and act, again and again.
+    async def _run_cycles(self, tasks: TaskGroup) -> None:
+        """Run scheduling cycles until cancelled: decide, store and act.
 
-        All that happened while a turn was being stored is decided in the next one, so the number
-        of writes does not grow with the number of tasks. Nothing starts before the inbox has been
-        read, since it may say that a job was cancelled, nor before it is known which machines a
-        former owner is sending away.
+        Events that arrive while a cycle is being stored are handled together in the next one, so
+        the number of writes does not grow with the number of tasks. No task starts before the inbox
+        has been read, since it may hold the cancellation of a job, nor before the machines are
+        known that a previous owner has ordered away.
         """
         while True:
             now = clock.read()
-            self._leases.count_time_passed(self._shard.ledger.executors.values(), now)
+            self._leases.subtract_elapsed_time(self._shard.ledger.executors.values(), now)
             self._shard.expire(now, time.time())
-            known = self._inbox.is_read and self._former_orders.are_known
-            if known and self._placing:
+            ready = self._inbox.is_read and self._inherited_orders.are_loaded
+            if ready and self._placing:
                 self._shard.place(now, time.time())
-            self._drive(tasks)
+            self._update_drivers(tasks)
             self._stops.send(clock.read())
             done, self._shard.outbox.done = self._shard.outbox.done, []
             cycle_log.log_done_tasks(done, self._term.token)
             decided = clock.read()
-            await self._store_turn()
+            await self._store_cycle()
             self._log_if_slow(now, decided)
-            if not self._shard.job_table.changed and not self._news.is_set():
-                with anyio.move_on_after(self._pause()):
-                    await self._news.wait()
-            self._news = anyio.Event()
+            if not self._shard.job_table.changed and not self._wake_event.is_set():
+                with anyio.move_on_after(self._idle_timeout()):
+                    await self._wake_event.wait()
+            self._wake_event = anyio.Event()
 
     def _log_if_slow(self, began: float, decided: float) -> None:
-        """Tell what a turn that took long spent its time on."""
+        """Log how long a slow scheduling cycle took to decide and to store."""
         ended = clock.read()
-        if ended - began < SLOW_TURN:
+        if ended - began < SLOW_CYCLE_THRESHOLD:
             return
         figures = {"decided": round(decided - began, 3), "stored": round(ended - decided, 3)}
         log.warning("turn slow", extra={**figures, "jobs": len(self._shard.job_table.jobs)})
 
-    def _pause(self) -> float:
+    def _idle_timeout(self) -> float:
         due = self._shard.job_table.next_due()
         if due is None:
-            return QUIET_TURN
-        return min(QUIET_TURN, max(0.001, due - time.time()))
+            return MAX_CYCLE_INTERVAL
+        return min(MAX_CYCLE_INTERVAL, max(0.001, due - time.time()))
 
-    def _drive(self, tasks: TaskGroup) -> None:
-        """Give each executor a driver, and let those go on that have something to do."""
+    def _update_drivers(self, tasks: TaskGroup) -> None:
+        """Create a driver for each executor, and wake the drivers that have work."""
         executors = self._shard.ledger.executors
         for name, executor in executors.items():
             driver = self._drivers.get(name)
@@ -336,14 +351,20 @@
         tasks.start_soon(driver.run)
         return driver
 
-    async def _store_turn(self) -> None:
-        """Store what changed, then let the starts and the confirmed ends of it go out."""
+    async def _store_cycle(self) -> None:
+        """Store the changes of this cycle, then send its starts and confirm its ended runs."""
         batch = CycleBatch.collect(self._shard, self._keys, time.time())
-        pending = self._shard.job_table.pending() if self._inbox.is_read else self._published
+        pending = (
+            self._shard.job_table.pending() if self._inbox.is_read else self._published_pending
+        )
         queues = self._shard.queues_in_use()
-        due = not batch.is_empty or pending != self._published or queues != self._stored_queues
+        due = (
+            not batch.is_empty
+            or pending != self._published_pending
+            or queues != self._stored_queues
+        )
         executors = self._shard.ledger.executors.values()
-        if not due and not self._leases.wants_write(executors, clock.read()):
+        if not due and not self._leases.needs_write(executors, clock.read()):
             return
         extra = [*self._pending_puts(pending), *self._queue_puts(queues)]
         for part in batch.parts(extra):
@@ -357,7 +378,7 @@
             for run in part.planned:
                 self._submit(run, stored_at)
             self._notify(end.executor.name for end in part.ends)
-        self._published, self._stored_queues = pending, queues
+        self._published_pending, self._stored_queues = pending, queues
 
     def _submit(self, run: Run, stored_at: float) -> None:
         driver = self._drivers.get(run.executor)
@@ -367,23 +388,23 @@
             driver.orders.submit(run, stored_at)
 
     def _pending_puts(self, pending: dict[str, int] | None) -> list[Put]:
-        """Return the write that publishes how many jobs wait, if that has changed."""
-        if pending == self._published:
+        """Return the write that publishes the number of pending jobs, if it has changed."""
+        if pending == self._published_pending:
             return []
         return [Put(self._keys.pending(self._name), orjson.dumps(pending))]
 
     def _queue_puts(self, queues: dict[str, Queue]) -> list[Put]:
-        """Return the write of the rules of queues that have jobs, if these have changed.
+        """Return the write of the rules of queues that have jobs, if they have changed.
 
-        A successor may have read only a configuration without such a queue; its jobs, which were
-        accepted, would never be served.
+        The next owner may only see a configuration without such a queue. Without the stored rules
+        the accepted jobs of that queue would never run.
         """
         if queues == self._stored_queues:
             return []
         return [Put(self._keys.queues(self._name), write_queues(queues))]
 
     def _notify(self, executors: Iterable[str]) -> None:
-        """Let the drivers of some executors go on, since something was stored for them."""
+        """Wake the drivers of executors for which something was stored."""
         for name in set(executors):
             driver = self._drivers.get(name)
             if driver is not None:
--- a/vanillawell/coordination/store_health.py
+++ b/vanillawell/coordination/store_health.py
@@ -1,56 +1,57 @@
-"""Know when calls to the store go unanswered, so that callers are refused before one is sent.
+"""Track whether the store answers, so that callers can be refused before a write is sent.
 
-A write without an answer may have been carried out, so its caller can't be told that it was not.
-One that was never sent was not carried out for certain, and its caller can come back.
+A write without an answer may have been carried out, so its caller cannot be told that it was not. A
+write that was never sent has certainly not been carried out, and its caller can retry.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-PROBE_PAUSE = 0.3
-"""Seconds after an unanswered call for which the store isn't asked again."""
+PROBE_INTERVAL = 0.3
+"""Seconds after an unanswered call until the store is probed again."""
 
-PROBE_BOUND = 0.5
-"""Seconds for which a reading may take to prove that the store answers; a slow one takes 0.4."""
+PROBE_TIMEOUT = 0.5
+"""Seconds within which a probe has to be answered; a slow store takes 0.4 s."""
 
 
 @dataclass(slots=True)
 class StoreHealth:
-    """What is known of the store by the latest calls to it.
+    """Health of the store according to the latest calls to it.
 
-    Times are those of the clock of decisions.
+    Times are those of `clock.read`.
     """
 
     _answered_at: float = float("-inf")
-    _silent_at: float | None = None
-    """When a call went unanswered while nothing else was answered either; None after an answer."""
+    _timed_out_at: float | None = None
+    """Time at which a call timed out while no other call was answered; None after an answer."""
 
-    _doubtful: bool = False
+    _needs_probe: bool = False
 
-    def note_answer(self, now: float) -> None:
-        """Take in that the store has answered."""
+    def record_answer(self, now: float) -> None:
+        """Record that the store has answered."""
         self._answered_at = now
-        self._silent_at = None
-        self._doubtful = False
+        self._timed_out_at = None
+        self._needs_probe = False
 
-    def note_failure(self) -> None:
-        """Take in that a call has failed, which may be its connection's fault alone."""
-        self._doubtful = True
+    def record_failure(self) -> None:
+        """Record that a call has failed, possibly only because of its connection."""
+        self._needs_probe = True
 
-    def note_silence(self, sent: float, now: float) -> None:
-        """Take in that a call that was sent at `sent` has got no answer.
+    def record_timeout(self, sent: float, now: float) -> None:
+        """Record that a call sent at `sent` was not answered.
 
-        If others were answered since, its answer was lost, and nobody else has to be shut out.
+        If other calls were answered since then, only its answer was lost, and the store does not
+        count as unresponsive.
         """
-        self._doubtful = True
+        self._needs_probe = True
         if self._answered_at <= sent:
-            self._silent_at = now
+            self._timed_out_at = now
 
-    def is_doubtful(self) -> bool:
-        """Tell whether a reading has to prove first that it answers."""
-        return self._doubtful
+    def needs_probe(self) -> bool:
+        """Return whether a probe has to confirm that the store answers before the next write."""
+        return self._needs_probe
 
-    def is_silent(self, now: float) -> bool:
-        """Tell whether it went unanswered so lately that asking again is no use."""
-        return self._silent_at is not None and now < self._silent_at + PROBE_PAUSE
+    def is_unresponsive(self, now: float) -> bool:
+        """Return whether a call timed out so recently that the store is not probed again yet."""
+        return self._timed_out_at is not None and now < self._timed_out_at + PROBE_INTERVAL
--- a/vanillawell/coordination/term.py
+++ b/vanillawell/coordination/term.py
@@ -1,4 +1,4 @@
-"""Own a shard: write in its name under a lease, and know when it is lost."""
+"""Own a shard for one term: fence writes, renew the lease, and detect the loss of ownership."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 
 log = logging.getLogger(__name__)
 
-LEASE = 1.5
-"""Seconds that ownership outlives the last renewal.
+OWNERSHIP_LEASE = 1.5
+"""Seconds that ownership lasts after the last renewal.
 
-Loss of an owner is noticed after this time at most; together with the take-over it has to stay
-well below the leases of running tasks, so that running work outlives its owner."""
+The loss of an owner is detected after this time at most. Detection and take-over together have to
+take much less time than the leases of running tasks, so that the tasks outlive their owner."""
 
 
 class TermLostError(Exception):
@@ -45,20 +45,21 @@
         document: TermDocument,
         revision: int,
         lease: RenewedLease,
-        former_bounds: LeaseBounds,
+        inherited_bounds: LeaseBounds,
     ) -> None:
         self._store = store
         self._key = key
         self._document = document
         self._revision = revision
         self._lease = lease
-        self._former_bounds = former_bounds
+        self._inherited_bounds = inherited_bounds
         self._sequence = document.sequence
-        """Number of the latest write that was begun. One that was broken off may have taken effect,
-        so its number is never used again: the next write would take it for its own."""
+        """Sequence number of the latest write that was begun. A cancelled write may have taken
+        effect, so its number is not reused: the next write would mistake it for its own."""
         self._closed = False
         self._writing = anyio.Lock()
-        """Two writes at once would carry the same number, and each take the other's for its own."""
+        """Serialises writes: concurrent ones would carry the same sequence number, and each could
+        mistake the other for its own."""
 
     @property
     def token(self) -> int:
@@ -66,21 +67,21 @@
         return self._document.token
 
     @property
-    def former_bounds(self) -> LeaseBounds:
-        """Return what the former owner left of executors' leases."""
-        return self._former_bounds
+    def inherited_bounds(self) -> LeaseBounds:
+        """Return the bounds of executors' leases that the previous owner stored."""
+        return self._inherited_bounds
 
     def is_held(self, now: float) -> bool:
-        """Tell whether nobody else can have been given the shard yet, by this process's clock."""
+        """Return whether no other entry can own the shard yet, by this process's clock."""
         return not self._closed and self._lease.is_held(now)
 
     def lapsed_for(self, now: float) -> float:
-        """Return the seconds since the lease may have ended; negative while it holds."""
+        """Return the seconds since the lease may have expired; negative while it is valid."""
         return self._lease.lapsed_for(now)
 
-    async def keep(self) -> None:
-        """Renew the lease until it is lost for certain; raises TermLostError then."""
-        raise TermLostError(await self._lease.keep())
+    async def renew_until_lost(self) -> None:
+        """Renew the lease until it is certainly lost, then raise TermLostError."""
+        raise TermLostError(await self._lease.renew_until_ended())
 
     async def write(
         self,
@@ -88,11 +89,15 @@
         deletes: Sequence[str] = (),
         prepare: Callable[[], Sequence[Put]] = tuple,
     ) -> float:
-        """Write in the name of the term; returns the time at which it was surely still held.
+        """Write as the owner of this term, and return a time at which the term was certainly held.
 
-        The write is repeated until its outcome is known. It cannot take effect twice, nor after a
-        later one: each replaces the term's document and requires the revision before. `prepare` is
-        called once no other write is under way, and adds to what is written.
+        The write is repeated until its outcome is known. It cannot take effect twice or after a
+        later write, since each write replaces the term document and requires its previous revision.
+
+        Args:
+            puts: Values to write.
+            deletes: Keys to delete.
+            prepare: Called once no other write is in progress; returns further values to write.
 
         Raises:
             TermLostError: Another entry has taken the shard over; nothing was written.
@@ -101,28 +106,29 @@
             await self._wait_if_closed()
             return await self._write([*puts, *prepare()], deletes)
 
-    async def write_if_reachable(
+    async def write_without_retry(
         self, prepare: Callable[[], Sequence[Put]], until: float = math.inf
     ) -> float:
-        """Write what `prepare` returns, without trying again after a failure.
+        """Write the values that `prepare` returns, without a retry after a failure.
 
-        Once under way it can't be broken off, but by `until`, on the clock of decisions.
+        Once begun, the write cannot be cancelled from outside; it ends at `until`, a time of
+        `clock.read`.
 
         Raises:
-            StoreUnavailableError: Nothing was written, nor will be.
-            StoreOutcomeUnknownError: It may have been written, or may be yet.
+            StoreUnavailableError: Nothing was written or will be.
+            StoreOutcomeUnknownError: The values may have been written or may still be.
             TermLostError: Another entry has taken the shard over; nothing was written.
         """
         async with self._writing:
             stored_at: float | None = None
-            # Broken off, a try that does nothing could not be told from one that is carried out.
+            # A cancelled try would leave it unknown whether the write took effect.
             bound = anyio.current_time() + until - clock.read()
             with anyio.CancelScope(shield=True, deadline=bound):
                 document, puts = self._next_document(), prepare()
                 while stored_at is None:
-                    stored_at = await self._try(document, puts, ())
+                    stored_at = await self._try_write(document, puts, ())
             if stored_at is None:
-                raise StoreOutcomeUnknownError("no answer while there was time for it")
+                raise StoreOutcomeUnknownError("store did not answer before the deadline")
             return stored_at
 
     async def _write(self, puts: Sequence[Put], deletes: Sequence[str]) -> float:
@@ -130,9 +136,9 @@
         backoff = Backoff()
         while True:
             try:
-                stored_at = await self._try(document, puts, deletes)
+                stored_at = await self._try_write(document, puts, deletes)
             except (StoreUnavailableError, StoreOutcomeUnknownError) as error:
-                log.warning("write not confirmed", extra={"why": str(error)})
+                log.warning("write of the term not confirmed", extra={"why": str(error)})
                 await backoff.wait()
                 continue
             if stored_at is not None:
@@ -142,10 +148,14 @@
         self._sequence += 1
         return replace(self._document, sequence=self._sequence)
 
-    async def _try(
+    async def _try_write(
         self, document: TermDocument, puts: Sequence[Put], deletes: Sequence[str]
     ) -> float | None:
-        """Make one try; returns when it was sent if it is stored, None to be sent again."""
+        """Try to write once.
+
+        Returns:
+            The time at which the write was sent if it is stored; None if it has to be sent again.
+        """
         data = document.to_bytes()
         transaction = Transaction(
             compares=[Compare(self._key, self._revision)],
@@ -157,43 +167,42 @@
         if result.succeeded:
             self._document, self._revision = document, result.revision
             return sent
-        found = result.values.get(self._key)
-        if found is None or not self._is_own(found.value):
-            raise TermLostError("another entry has written")
-        self._revision = found.mod_revision
-        if found.value != data:
+        stored = result.values.get(self._key)
+        if stored is None or not self._is_own(stored.value):
+            raise TermLostError("another entry has written the term document")
+        self._revision = stored.mod_revision
+        if stored.value != data:
             return None
         self._document = document
         return sent
 
     def _is_own(self, data: bytes) -> bool:
-        """Tell whether a term's document was written in the name of this term."""
+        """Return whether a term document was written by the owner of this term."""
         try:
-            found = TermDocument.from_bytes(data)
+            stored = TermDocument.from_bytes(data)
         except (ValueError, TypeError) as error:
-            log.error("term unreadable", extra={"why": repr(error)})
+            log.error("term document unreadable", extra={"why": repr(error)})
             return False
-        return (found.token, found.holder) == (self._document.token, self._document.holder)
+        return (stored.token, stored.holder) == (self._document.token, self._document.holder)
 
     @property
     def is_closed(self) -> bool:
-        """Tell whether nothing more is written in the name of the term."""
+        """Return whether the term accepts no more writes."""
         return self._closed
 
     def close(self) -> None:
-        """Write nothing more in the name of the term.
+        """Stop writing and renewing; later writes block until they are cancelled.
 
-        Each write moves the document that candidates take the shard by; those that are best suited
-        would fail at it and pause, and others be there first. Who writes still waits until the end
-        of the term ends it.
+        Each write changes the term document, which makes a concurrent claim of a candidate fail.
+        The candidate best suited would then wait before it tries again, and another would win.
         """
         self._closed = True
-        self._lease.let_go("given up")
+        self._lease.stop_renewing("shard released")
 
     async def _wait_if_closed(self) -> None:
         if self._closed:
             await anyio.sleep_forever()
 
-    async def give_up(self) -> None:
-        """End the lease, so that another entry can take over at once."""
+    async def release(self) -> None:
+        """Revoke the lease, so that another entry can take over at once."""
         await self._store.revoke(self._lease.number)
--- a/vanillawell/node.py
+++ b/vanillawell/node.py
@@ -1,4 +1,4 @@
-"""Put the scheduler's tasks of one entry together and run them from start to planned stop."""
+"""Assemble the scheduler of one entry and run it from its start to a planned stop."""
 
 from __future__ import annotations
 
@@ -26,31 +26,33 @@
 log = logging.getLogger(__name__)
 
 SHARD = "all"
-"""Name of the only shard so far: all services belong to it."""
+"""Name of the only shard; all services belong to it."""
 
 STOP_NOTICE = 2.6
-"""Seconds between not being ready and closing.
+"""Seconds between reporting as not ready and closing the listeners.
 
-The balancer asks each second and goes on sending callers until the second miss."""
+The load balancer polls every second and sends callers until the second failed check."""
 
-GIVE_UP_BOUND = 1.0
-"""Seconds for which an owner that has said its last word waits for the end of its lease."""
+RELEASE_TIMEOUT = 1.0
+"""Seconds to wait for the revocation of the lease once the final lease document is stored."""
 
-PASS_ON_BOUND = 1.0
-"""Seconds for which a stopping entry tries to pass on a shard that it was just taking."""
+STOPPING_HAND_OVER_TIMEOUT = 1.0
+"""Seconds for which a stopping entry tries to hand over a shard that it has just taken."""
 
-HANDOVER_PAUSE = 0.6
-"""Seconds between two tries to hand a shard over. The owner settles the first one, decides and
-stores a turn in between; a slow store takes 0.4 s for a write."""
+HAND_OVER_RETRY_INTERVAL = 0.6
+"""Seconds between two tries to hand a shard over.
 
-LAST_MOMENTS = 0.4
-"""Seconds before the end of its process in which an owner tries no more to hand its shard over."""
+In between, the owner resolves the outcome of the first try and runs a scheduling cycle; a slow
+store takes 0.4 s for a write."""
 
-LEAVE_BOUND = 0.3
-"""Seconds of those for which it waits for the end of its lease."""
+HAND_OVER_MARGIN = 0.4
+"""Seconds before the end of the process at which an owner stops trying to hand its shard over."""
 
-GIVE_WAY_BOUND = 3.0
-"""Seconds for which an owner tries to hand its shard to a stronger entry, which asks that long."""
+FINAL_RELEASE_TIMEOUT = 0.3
+"""Seconds of `HAND_OVER_MARGIN` to wait for the revocation of the lease."""
+
+BIDDER_HAND_OVER_TIMEOUT = 3.0
+"""Seconds for which an owner tries to hand its shard to a bidder; a bid is valid that long."""
 
 
 class Node:
@@ -71,68 +73,72 @@
             ports.store, self._keys, SHARD, settings.instance, settings.capacity
         )
         self._challenger = Challenger(
-            ports.store, self._keys, SHARD, self._candidate.me, self._candidate.watch
+            ports.store, self._keys, SHARD, self._candidate.contender, self._candidate.holder_watch
         )
         self._owner: ShardOwner | None = None
         self._term: Term | None = None
         self._stopping = anyio.Event()
-        self._candidacy = anyio.CancelScope()
+        self._candidacy_scope = anyio.CancelScope()
         self._challenge_scope = anyio.CancelScope()
-        self._handing_on = anyio.Lock()
-        """A stop may be asked for while the shard is being handed to a stronger entry."""
+        self._hand_over_lock = anyio.Lock()
+        """Serialises hand-overs, since a stop may be requested during a hand-over to a bidder."""
 
     def refresh_telemetry(self) -> None:
-        """Bring figures up to date that are kept elsewhere."""
+        """Update the metrics whose values are kept elsewhere."""
         policy = self._policies.policy
         self.telemetry.policy_version.set({}, policy.version if policy else 0)
         self.telemetry.log_lines_dropped.set({}, logs.lines_dropped())
 
     @property
     def owns(self) -> bool:
-        """Tell whether this entry owns the shard, as far as it knows."""
+        """Return whether this entry owns the shard, as far as it knows."""
         return self._owner is not None and self._owner.loaded
 
     @property
     def term(self) -> Term | None:
-        """Return this entry's ownership of the shard, if it has taken it."""
+        """Return the term in which this entry owns the shard; None if it does not."""
         return self._term
 
     async def run(self) -> None:
-        """Follow the configuration and own the shard whenever it falls to this entry."""
+        """Watch the configuration, compete for the shard and own it whenever it is acquired."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._policies.run)
-            tasks.start_soon(self._candidate.follow)
+            tasks.start_soon(self._candidate.watch_holder)
             tasks.start_soon(self._own)
             tasks.start_soon(self._challenge)
-            tasks.start_soon(self._give_way)
+            tasks.start_soon(self._yield_to_stronger)
 
     async def _challenge(self) -> None:
-        """Ask weaker owners for the shard until this entry is asked to stop."""
+        """Bid for the shard of weaker owners until a stop is requested."""
         with self._challenge_scope:
             await self._challenger.run()
 
-    async def _give_way(self) -> None:
-        """Hand the shard to whichever much stronger entry asks for it."""
+    async def _yield_to_stronger(self) -> None:
+        """Hand the shard over to any bidder with a much smaller capacity shortfall."""
         while True:
-            stronger = await self._challenger.outbid()
+            stronger = await self._challenger.wait_for_stronger_bid()
             term, owner = self._term, self._owner
             if term is None or owner is None or self._stopping.is_set():
                 continue
-            fields = {"shard": SHARD, "token": term.token, "weakness": self._candidate.me.weakness}
+            fields = {
+                "shard": SHARD,
+                "token": term.token,
+                "weakness": self._candidate.contender.weakness,
+            }
             log.info("giving way", extra={**fields, "to": stronger.name})
-            handed_on = await self._hand_on(term, owner, GIVE_WAY_BOUND)
-            if not handed_on and term.is_closed:
-                await self._leave(term, owner)
+            handed_over = await self._hand_over_within(term, owner, BIDDER_HAND_OVER_TIMEOUT)
+            if not handed_over and term.is_closed:
+                await self._release_without_bounds(term, owner)
 
     async def _own(self) -> None:
         while not self._stopping.is_set():
-            self._candidacy = anyio.CancelScope()
-            with self._candidacy:
-                self._term = await self._candidate.win()
+            self._candidacy_scope = anyio.CancelScope()
+            with self._candidacy_scope:
+                self._term = await self._candidate.acquire()
             if self._term is None:
                 return
             if self._stopping.is_set():
-                await self._pass_on(self._term)
+                await self._hand_over_new_term(self._term)
             else:
                 await self._own_one_term(self._term)
             self._term = self._owner = None
@@ -142,12 +148,12 @@
             SHARD, term, self._ports, self._keys, self._settings, self._policies, self.telemetry
         )
 
-    async def _pass_on(self, term: Term) -> None:
-        """Hand on a shard that this entry was taking as it was asked to stop."""
+    async def _hand_over_new_term(self, term: Term) -> None:
+        """Hand over a shard that this entry was taking when a stop was requested."""
         log.info("shard taken while stopping", extra={"shard": SHARD, "token": term.token})
         owner = self._new_owner(term)
-        if not await self._hand_on(term, owner, PASS_ON_BOUND):
-            await self._leave(term, owner)
+        if not await self._hand_over_within(term, owner, STOPPING_HAND_OVER_TIMEOUT):
+            await self._release_without_bounds(term, owner)
 
     async def _own_one_term(self, term: Term) -> None:
         self._owner = owner = self._new_owner(term)
@@ -158,8 +164,8 @@
             fields = {"shard": SHARD, "token": term.token, "reasons": reasons}
             log.warning("shard lost", extra=fields)
         except* Exception:
-            # A fault in the owner's code must not end the process: it still takes jobs in, and
-            # another entry takes the shard over once the lease has ended.
+            # A bug in the owner's code must not end the process: it still accepts jobs, and another
+            # entry takes the shard over once the lease has expired.
             log.exception("shard dropped", extra={"shard": SHARD, "token": term.token})
 
     @property
@@ -168,46 +174,46 @@
         return STOP_NOTICE + self._settings.bounds.grace_s / 4
 
     async def hand_over(self) -> None:
-        """Stop owning, so that another entry takes over at once, and take nothing over any more.
+        """Hand the shard over to another entry at once, and do not acquire it again.
 
-        In a restart of all entries the owner hands over while others are stopping, too. One of
-        those would take the shard for a second or two and leave it to its lease. An owner that
-        can't hand over goes on until its process ends.
+        During a restart of all entries other entries are stopping as well; one of those would own
+        the shard for only a second or two and then leave it to lease expiry. An owner that cannot
+        hand over continues until its process ends.
         """
         self._stopping.set()
-        self._candidacy.cancel()
+        self._candidacy_scope.cancel()
         self._challenge_scope.cancel()
         term, owner = self._term, self._owner
         if term is None or owner is None:
             return
-        if not await self._hand_on(term, owner, self.stop_duration - LAST_MOMENTS):
-            await self._leave(term, owner)
+        if not await self._hand_over_within(term, owner, self.stop_duration - HAND_OVER_MARGIN):
+            await self._release_without_bounds(term, owner)
 
-    async def _hand_on(self, term: Term, owner: ShardOwner, bound: float) -> bool:
-        """Hand the shard on within `bound` seconds; tells whether it is no longer this entry's.
+    async def _hand_over_within(self, term: Term, owner: ShardOwner, bound: float) -> bool:
+        """Hand the shard over within `bound` seconds; return whether this entry no longer owns it.
 
-        What a successor has to know is stored first. As long as that fails the shard stays where
-        it is, and between two tries its owner decides as ever: nobody else does.
+        The final lease document is stored first. While that fails this entry keeps the shard, and
+        its owner runs scheduling cycles between two tries, since no other entry does.
         """
         until = clock.read() + bound
         with anyio.move_on_after(bound):
-            async with self._handing_on:
+            async with self._hand_over_lock:
                 while self._term is term or term.is_closed:
-                    if await self._try_to_hand_on(term, owner, until):
+                    if await self._try_hand_over(term, owner, until):
                         return True
-                    await anyio.sleep(HANDOVER_PAUSE)
+                    await anyio.sleep(HAND_OVER_RETRY_INTERVAL)
                 return True
         return False
 
-    async def _try_to_hand_on(self, term: Term, owner: ShardOwner, until: float) -> bool:
-        """Try once to store what a successor has to know and to end the lease."""
+    async def _try_hand_over(self, term: Term, owner: ShardOwner, until: float) -> bool:
+        """Try once to store the final lease document and to revoke the lease."""
         fields = {"shard": SHARD, "token": term.token}
         try:
-            if not await owner.store_last_word(until):
+            if not await owner.prepare_hand_over(until):
                 log.warning("shard not handed over", extra={**fields, "why": "bounds not stored"})
                 return False
-            with anyio.fail_after(GIVE_UP_BOUND):
-                await term.give_up()
+            with anyio.fail_after(RELEASE_TIMEOUT):
+                await term.release()
         except (StoreError, TimeoutError) as error:
             log.warning("shard not handed over", extra={**fields, "why": str(error)})
             return False
@@ -216,18 +222,18 @@
         log.info("shard given up", extra={**fields, "last_word": True})
         return True
 
-    async def _leave(self, term: Term, owner: ShardOwner) -> None:
-        """End the lease of a shard that could not be handed over, since nobody decides on it soon.
+    async def _release_without_bounds(self, term: Term, owner: ShardOwner) -> None:
+        """Revoke the lease of a shard that could not be handed over, since its owner stops soon.
 
-        What a successor finds is true without a last word, too: runs are in their records before
-        they start, no lease is extended once a last word may be stored, and executors of which
-        nothing is stored are taken to hold the longest leases.
+        What is stored is correct without the final lease document as well: runs are recorded before
+        they start, no lease is extended once the final document may be stored, and executors
+        without a stored bound count as holding the longest possible leases.
         """
         fields = {"shard": SHARD, "token": term.token}
         owner.stop_placing()
         try:
-            with anyio.fail_after(LEAVE_BOUND):
-                await term.give_up()
+            with anyio.fail_after(FINAL_RELEASE_TIMEOUT):
+                await term.release()
         except (StoreError, TimeoutError) as error:
             log.warning("shard left to its lease", extra={**fields, "why": str(error)})
             return
--- a/vanillawell/platform/callers.py
+++ b/vanillawell/platform/callers.py
@@ -113,7 +113,7 @@
                     "operation": method,
                     "reason": answer.reason.slug,
                     "retry_after": answer.retry_after,
-                    **self._job_service.basis(began),
+                    **self._job_service.configuration_fields(began),
                 },
             )
             await send_bytes(send, status, answer.body(), answer.headers())
--- a/vanillawell/tests/busy_owner_tests.py
+++ b/vanillawell/tests/busy_owner_tests.py
@@ -1,7 +1,7 @@
-"""Test that an owner's work grows with what happens, not with the size of its fleet.
+"""Test that the work of an owner grows with the number of events, not with the size of its fleet.
 
-The pattern: a peak in which hundreds of tasks a second start on a hundred executors and more, all
-of them ordered by one owner. What it spends on executors that have no news delays each start.
+The failure: during a load peak one owner starts hundreds of tasks a second on more than a hundred
+executors. The time that it spends on executors without changes delays each start.
 """
 
 from __future__ import annotations
@@ -25,28 +25,28 @@
     from vanillawell.tests.scheduler_cluster import Cluster
 
 FLEET = 100
-"""Executors of the pool whose peak it is."""
+"""Number of executors in the pool under load."""
 
 STORE_DELAY = 0.02
-"""Seconds that the store takes for each answer."""
+"""Seconds that the store takes to answer each call."""
 
 PEAK_JOBS = 60
-"""Jobs of a peak."""
+"""Number of jobs in a load peak."""
 
-HEARTBEATS_SECONDS = 2.0
+HEARTBEAT_DURATION = 2.0
 
-HEARTBEAT_GAP = 0.01
-"""Seconds between two entries that are written anew."""
+HEARTBEAT_INTERVAL = 0.01
+"""Seconds between two registrations that are rewritten."""
 
-CALLS_AT_REST = 20
-"""Calls a second to the store with which one entry follows all that it has to."""
+IDLE_CALL_RATE = 20
+"""Maximum calls a second to the store by one entry without load."""
 
-CALLS_SAVED = 4
-"""Ends that one call to an executor brings and confirms at least, in a peak."""
+MIN_ENDS_PER_CALL = 4
+"""Minimum number of ends of runs that one call to an executor reports and confirms under load."""
 
 
 def _fleet(rng: random.Random) -> ShardHarness:
-    """Return a shard whose executors are filled unevenly."""
+    """Return a shard whose executors are unevenly loaded."""
     harness = ShardHarness(*(facts(f"i-{number:03}", cpu=16_000) for number in range(FLEET)))
     for _ in range(FLEET):
         harness.admit(plain_job(plain_step(rng.randint(1, 8), cpu=rng.randint(300, 3_000))))
@@ -59,27 +59,27 @@
     return record.open(0)[0].tasks
 
 
-def test_each_task_stays_with_the_one_before_or_goes_where_a_search_puts_it() -> None:
-    """The executor that was best for one task is kept for the next, so it has to have room; and
-    once it has none the next one must be what a search among all finds."""
+def test_tasks_of_a_step_fill_an_executor_before_the_next_search() -> None:
+    """The executor chosen for one task is used for the next one while it has free capacity. After
+    that, the choice has to be the same as that of a search among all executors."""
     harness = _fleet(random.Random(3))
     pool = list(harness.shard.ledger.executors.values())
     tasks = _wide_step()
     placer = StepPlacer(tasks[0].step, pool, None)
-    before: Executor | None = None
+    previous: Executor | None = None
     for task in tasks:
-        found = StepPlacer(task.step, pool, None).choose(task)
+        best = StepPlacer(task.step, pool, None).choose(task)
         chosen = placer.choose(task)
         assert chosen is not None
-        stays = before is not None and task.step.spec.reserved.fits(before.free)
-        assert chosen is (before if stays else found)
+        stays = previous is not None and task.step.spec.reserved.fits(previous.free)
+        assert chosen is (previous if stays else best)
         harness.shard.plan(task, chosen, 1, "", harness.now)
         placer.placed(chosen)
-        before = chosen
+        previous = chosen
 
 
-def test_a_wide_step_is_not_compared_with_each_executor_for_each_task() -> None:
-    """Forty tasks on a hundred executors would be four thousand comparisons in each turn."""
+def test_wide_step_is_not_compared_with_each_executor_for_each_task() -> None:
+    """Forty tasks on a hundred executors would need 4000 comparisons in each scheduling cycle."""
     harness = _fleet(random.Random(3))
     compared = 0
 
@@ -100,9 +100,9 @@
 
 
 @with_cluster(members=1, executors=8)
-async def test_an_executor_is_not_asked_again_before_its_ends_are_stored(built: Cluster) -> None:
-    """Executors repeat ends that aren't confirmed, so a call made while an end is being stored is
-    answered at once, with nothing new. A peak would be spent on such calls."""
+async def test_executor_is_not_polled_again_before_its_ends_are_stored(built: Cluster) -> None:
+    """Executors repeat unconfirmed ends of runs, so a call made while an end is being stored is
+    answered at once with nothing new. Under load the owner would spend its time on such calls."""
     owner, rng = await built.owner(), random.Random(5)
     built.store.faults.delay = STORE_DELAY
     jobs = [built.new_id() for _ in range(PEAK_JOBS)]
@@ -114,18 +114,18 @@
         await until_state(owner, job_id, "completed", 5.0)
     ended = sum(built.audit.started.values())
     holds = sum(executor.holds for executor in built.executors)
-    assert holds * CALLS_SAVED < ended
+    assert holds * MIN_ENDS_PER_CALL < ended
 
 
 @with_cluster(members=1, executors=8)
-async def test_entries_written_anew_cost_an_owner_few_calls(built: Cluster) -> None:
-    """Executors write their entries anew though nothing has changed. In a fleet of hundreds each
-    such write would cost its owner a call to the store and a turn."""
+async def test_rewritten_registrations_cost_an_owner_few_calls(built: Cluster) -> None:
+    """Executors rewrite their registrations even if nothing has changed. In a fleet of hundreds,
+    each write would cost the owner a call to the store and a scheduling cycle."""
     await built.owner()
     before = built.store.calls
     began = clock.read()
-    while clock.read() - began < HEARTBEATS_SECONDS:
+    while clock.read() - began < HEARTBEAT_DURATION:
         for name in built.hosts:
             built.register(name)
-            await anyio.sleep(HEARTBEAT_GAP)
-    assert built.store.calls - before < CALLS_AT_REST * HEARTBEATS_SECONDS
+            await anyio.sleep(HEARTBEAT_INTERVAL)
+    assert built.store.calls - before < IDLE_CALL_RATE * HEARTBEAT_DURATION
--- a/vanillawell/tests/handover_outcome_tests.py
+++ b/vanillawell/tests/handover_outcome_tests.py
@@ -1,4 +1,4 @@
-"""Prove what a planned stop, or a freeze, of an owner must not lose in trouble of the store."""
+"""Test planned stops and freezes of an owner while the store is unreachable or loses answers."""
 
 from __future__ import annotations
 
@@ -35,18 +35,18 @@
     from vanillawell.tests.scheduler_cluster import Member
 
 OUTAGE = 6.0
-"""Seconds for which the store is away; sound work is to live through nine."""
+"""Seconds for which the store is unreachable; running tasks have to survive nine."""
 
-NOTICED = 2.6
-"""Seconds within which an owner notices that an executor of lasting tasks answers nothing."""
+DETECTION_TIME = 2.6
+"""Seconds within which an owner detects that an executor of long-running tasks is unresponsive."""
 
 PROCESS_END = 4.1
 """Seconds between the request to stop and the end of the process."""
 
 
-def test_a_write_after_one_that_was_broken_off_is_stored_or_repeated() -> None:
-    """A stopping owner breaks its hand-over off while the store's answer is lost. What it writes
-    next must be in the store once it is taken as stored: ends are confirmed on that ground."""
+def test_write_after_a_cancelled_one_is_stored_or_repeated() -> None:
+    """A stopping owner cancels its hand-over while the store's answer is lost. The next write must
+    not be reported as stored unless it is, since ends of runs are confirmed on that basis."""
 
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
@@ -66,9 +66,11 @@
 
 
 @with_cluster(members=2)
-async def test_sound_work_outlives_a_planned_stop_while_the_store_is_away(built: Cluster) -> None:
-    """The store goes away a moment before the owner is asked to stop. Nobody can take over, so the
-    owner goes on renewing what runs until its process ends."""
+async def test_running_tasks_survive_a_planned_stop_while_the_store_is_unreachable(
+    built: Cluster,
+) -> None:
+    """The store becomes unreachable just before the owner is requested to stop. No entry can take
+    over, so the owner renews running tasks until its process ends."""
     owner, job_id = await built.owner(), built.new_id()
     await owner.call("POST", PREFIX + job_id, job(step(longRunning=True), spec={"seconds": 60}))
     task = f"{job_id}.0.0.0"
@@ -87,13 +89,13 @@
     assert any(task in executor.running for executor in built.executors)
 
 
-def test_answers_that_came_late_do_not_shorten_a_stored_bound() -> None:
-    """An owner is frozen for a second. The answers that waited for it show clocks of then, and it
-    stores them as those of now; its successor must not count that second as passed once more."""
+def test_answers_read_late_do_not_shorten_a_stored_bound() -> None:
+    """An owner is frozen for a second. Answers that arrived meanwhile hold clock readings from
+    before the end of the freeze; the next owner must not count that second twice."""
     frozen, left = 1.2, 4.0
     reading = ExecutorClock()
     reading.add_reading(100.0, sent=10.0, now=10.0)
-    # answered during the freeze, read after it
+    # This answer was sent during the freeze and is read after it.
     reading.add_reading(100.0 + 0.5, sent=10.0, now=10.0 + 0.5 + frozen)
     stored = reading.upper_bound(10.0 + 0.5 + frozen)
     harness = ShardHarness()
@@ -101,23 +103,23 @@
     shown = {"i-2@1": 100.0 + 0.5 + frozen + passed}
     owner = Owner(bounds({"i-1": left}, {"i-2@1": stored}), shown)
     executor = unreached(harness, owner, "i-1")
-    owner.keeper.count_time_passed([executor], harness.now)
+    owner.manager.subtract_elapsed_time([executor], harness.now)
     assert executor.lease_expires_at >= harness.now + left - passed - 1e-9
     assert frozen > STORED_BOUND_MARGIN, "the margin does not cover it"
 
 
 @given(st.lists(st.tuples(st.floats(0, 3), st.floats(0, 3), st.floats(0, 3)), min_size=1))
-def test_an_executors_clock_lies_between_the_bounds_of_its_readings(
+def test_executor_clock_lies_between_the_bounds_of_its_readings(
     calls: list[tuple[float, float, float]],
 ) -> None:
-    """Answers are late by any time on the way there and back, and the clock is as slow as it may
-    be. Bounds that missed it would shorten or prolong the leases of work."""
+    """Calls and answers are delayed arbitrarily, and the clock is as slow as permitted. Wrong
+    bounds would shorten or extend the leases of running tasks."""
     estimate, now = ExecutorClock(), 1_000.0
-    for there, back, pause in calls:
-        sent, made = now, now + there
-        now = made + back
+    for request_delay, answer_delay, interval in calls:
+        sent, made = now, now + request_delay
+        now = made + answer_delay
         estimate.add_reading(_slow_clock(made), sent, now)
-        now += pause
+        now += interval
         assert estimate.lower_bound(now) <= _slow_clock(now) + 1e-6
         assert estimate.upper_bound(now) >= _slow_clock(now) - 1e-6
 
@@ -126,9 +128,9 @@
     return 70.0 + (now - 1_000.0) * (1 - CLOCK_DRIFT)
 
 
-def test_an_executor_that_answers_nothing_gets_no_work_when_its_suspicion_ends() -> None:
-    """Its leases may not be extended, so each start would be given up unsent, and planned anew
-    with a write in each turn until the next call fails."""
+def test_unresponsive_executor_gets_no_tasks_when_its_placement_block_ends() -> None:
+    """Its leases may not be extended, so each start would be dropped unsent and planned again, with
+    a write in each scheduling cycle until the next call fails."""
     harness = ShardHarness(facts("i-1"))
     executor = harness.shard.ledger.executors["i-1"]
     executor.unresponsive_since = harness.now - 5.0
@@ -136,30 +138,32 @@
 
 
 @with_cluster(executors=1)
-async def test_an_executor_that_was_silent_beyond_its_leases_takes_work_again(
+async def test_executor_that_was_unresponsive_beyond_its_leases_takes_tasks_again(
     built: Cluster,
 ) -> None:
-    """An executor answers nothing until all its leases are over, and then answers again. Nothing is
-    charged to it any more, so nobody asks whether it does, and each start is given up unsent."""
-    owner, lasting, later = await built.owner(), built.new_id(), built.new_id()
+    """An executor is unresponsive until all its leases have expired, and then answers again. No
+    runs are charged to it any more. The owner must still poll it, or each start is dropped
+    unsent."""
+    owner, long_running, later = await built.owner(), built.new_id(), built.new_id()
     body = job(step(longRunning=True), spec={"seconds": 60})
-    await owner.call("POST", PREFIX + lasting, body)
-    task = f"{lasting}.0.0.0"
+    await owner.call("POST", PREFIX + long_running, body)
+    task = f"{long_running}.0.0.0"
     await until(lambda: task in built.audit.started)
     executor = built.hosts["i-0"].executor
     executor.faults.silent = True
-    await anyio.sleep(OUTAGE + NOTICED)
+    await anyio.sleep(OUTAGE + DETECTION_TIME)
     executor.faults.silent = False
     await owner.call("POST", PREFIX + later, job())
     await until_state(owner, later, "completed", 5)
 
 
 @with_cluster(members=2)
-async def test_an_end_is_stored_before_it_is_confirmed_when_a_hand_over_fails(
+async def test_end_is_stored_before_it_is_confirmed_when_a_hand_over_fails(
     built: Cluster,
 ) -> None:
-    """The owner is asked to stop, and the store's answer to its last word on leases is lost.
-    Tasks end meanwhile. One that is confirmed but not stored would be started once more."""
+    """The owner is requested to stop, and the answer to the write of its final lease document is
+    lost. Tasks end meanwhile. If an end were confirmed but not stored, the task would be started
+    again."""
     owner = await built.owner()
     other = next(member for member in built.members if member is not owner)
     job_ids = [built.new_id() for _ in range(12)]
@@ -181,9 +185,8 @@
     assert {task: built.audit.started[task] for task in tasks} == dict.fromkeys(tasks, 1)
 
 
-class AnswerLostThenAway:
-    """Stand between an entry and the store: the write of the bounds is carried out and its answer
-    is lost; every call after it is refused."""
+class AnswerLostThenUnreachable:
+    """Store wrapper that loses the answer to the write of the bounds, then refuses all calls."""
 
     def __init__(self, member: Member) -> None:
         self._member = member
@@ -202,13 +205,13 @@
 
 @with_cluster(executors=1)
 async def test_no_lease_is_extended_once_its_bound_may_be_stored(built: Cluster) -> None:
-    """The store takes the last word of a stopping owner in, breaks off before it answers, and then
-    refuses the next try. A successor trusts what it has stored, and would start tasks twice. None
-    is there that would extend the lease itself."""
+    """The store carries out the write of a stopping owner's final lease document, fails before it
+    answers, and refuses the next try. A new owner relies on the stored bounds, so an extension
+    could make a task run twice. No other entry is running that could extend the lease itself."""
     owner, job_id = await built.owner(), built.new_id()
     await owner.call("POST", PREFIX + job_id, job(step(longRunning=True), spec={"seconds": 60}))
     await until(lambda: f"{job_id}.0.0.0" in built.audit.started)
-    owner.store.inner = cast("Any", AnswerLostThenAway(owner))
+    owner.store.inner = cast("Any", AnswerLostThenUnreachable(owner))
     built.tasks.start_soon(owner.node.hand_over)
     await anyio.sleep(1.0)
     executor = built.hosts["i-0"].executor
@@ -219,9 +222,9 @@
 
 
 @with_cluster(executors=2)
-async def test_an_owner_that_has_handed_over_writes_nothing_more(built: Cluster) -> None:
-    """Tasks go on ending for a moment after an owner's last word. Each write of a turn would move
-    the document that candidates take the shard by, and the best suited would fail at it first."""
+async def test_owner_that_has_handed_over_writes_nothing_more(built: Cluster) -> None:
+    """Tasks still end after the final lease document is stored. Each further write would change the
+    term document, and the claim of the best suited candidate would fail because of it."""
     owner = await built.owner()
     for number in range(12):
         body = job(spec={"seconds": 1.0 + 0.05 * number})
@@ -237,10 +240,10 @@
 
 
 @with_cluster(members=2, executors=1)
-async def test_an_owner_whose_turn_is_slow_hands_over_once_it_is_stored(built: Cluster) -> None:
-    """An owner with a narrow link is stopped while it stores a turn, for longer than it waits to
-    hand over. It lives on for seconds, starts nothing any more, and keeps the shard all the while;
-    then its lease has to end, and of executors in touch no bound is left."""
+async def test_owner_with_a_slow_write_hands_over_once_it_is_stored(built: Cluster) -> None:
+    """An owner with a slow network link is stopped during a write that takes longer than it waits
+    to hand over. Without a later hand-over it would keep the shard for seconds without starting
+    tasks, until its lease expires, and store no bounds of responsive executors."""
     owner = await built.owner()
     (other,) = [member for member in built.members if member is not owner]
     owner.store.answer_time = 1.5
--- a/vanillawell/tests/owner_memory_tests.py
+++ b/vanillawell/tests/owner_memory_tests.py
@@ -1,4 +1,4 @@
-"""Prove that what decides is not begun anew with each owner of a shard."""
+"""Test that the state on which decisions depend is kept across owners of a shard."""
 
 from __future__ import annotations
 
@@ -23,16 +23,22 @@
 )
 
 WAVE = 4.0
-"""Seconds in which each machine of a wave is to have its upkeep."""
+"""Seconds within which each machine of a wave has to complete its upkeep."""
 
 
-def succeed(harness: ShardHarness, *names: str, machine: str = "", life: int = 0) -> ShardHarness:
-    """Return the shard of a new owner, with the same executors and what the store holds.
+def succeed(
+    harness: ShardHarness, *names: str, machine: str = "", incarnation: int = 0
+) -> ShardHarness:
+    """Return the shard of a new owner that has loaded the stored records of `harness`.
 
-    The others lived on a `machine`, in a `life`, as far as the store tells.
+    Args:
+        bench: Shard of the previous owner.
+        names: Executors that are registered with the new owner.
+        machine: Stored machine of all other executors.
+        incarnation: Stored incarnation of all other executors.
     """
     after = ShardHarness(*(facts(name) for name in names))
-    bound = InheritedLeaseBound(after.now + 9.0, after.now, machine, life)
+    bound = InheritedLeaseBound(after.now + 9.0, after.now, machine, incarnation)
     for record in harness.shard.job_table.jobs.values():
         read, runs = read_record(record.job, write_record(record), after.now, after.now)
         after.shard.restore(read, runs, lambda _: bound)
@@ -40,9 +46,9 @@
     return after
 
 
-def test_a_task_is_not_tried_again_where_it_failed_after_a_change_of_owner() -> None:
-    """An executor fails all that it starts. The owner is replaced before the next try, and the new
-    one begins on the same executor until the job has failed, with a sound one beside it."""
+def test_task_is_not_retried_where_it_failed_after_a_change_of_owner() -> None:
+    """An executor fails every task that it starts. The owner is replaced before the retry. If the
+    new owner used the same executor, the job would fail although a healthy one is available."""
     harness = ShardHarness(facts("i-1"), facts("i-2"))
     harness.admit(job())
     first = harness.place()[0]
@@ -53,12 +59,12 @@
 
 
 @with_cluster(members=2, executors=1)
-async def test_the_time_of_a_wave_does_not_begin_anew_with_its_owner(built: Cluster) -> None:
-    """A lasting task has no other place, so its machine is emptied only when the wave's time runs
-    out. A planned stop of the owner in between must not make the wave late."""
+async def test_time_of_a_wave_is_kept_across_owners(built: Cluster) -> None:
+    """A long-running task cannot run elsewhere, so its machine is emptied only when the wave's time
+    runs out. A planned stop of the owner in between must not delay the wave."""
     owner, job_id = await built.owner(), built.new_id()
-    lasting = body_of_job(step_in_body(longRunning=True), spec={"seconds": 60})
-    await owner.call("POST", PREFIX + job_id, lasting)
+    long_running = body_of_job(step_in_body(longRunning=True), spec={"seconds": 60})
+    await owner.call("POST", PREFIX + job_id, long_running)
     await until(lambda: f"{job_id}.0.0.0" in built.audit.started)
     machine = next(iter(built.machines.machines.values()))
     wave = {"wave": 1, "machines": [machine.name], "durationS": WAVE, "maximum": 1}
@@ -69,8 +75,8 @@
         await until(lambda: machine.upkeeps == 1, WAVE)
 
 
-def test_the_sole_owner_tries_elsewhere_what_has_failed() -> None:
-    """Without a change of owner the second try goes to the sound executor."""
+def test_sole_owner_retries_a_failed_task_elsewhere() -> None:
+    """Without a change of owner the retry goes to the healthy executor."""
     harness = ShardHarness(facts("i-1"), facts("i-2"))
     harness.admit(job())
     first = harness.place()[0]
@@ -82,11 +88,11 @@
 
 
 @with_cluster(members=2, executors=1)
-async def test_a_sole_owner_keeps_the_time_of_a_wave(built: Cluster) -> None:
-    """Without a change of owner the machine is emptied before the wave's time is over."""
+async def test_sole_owner_completes_a_wave_in_time(built: Cluster) -> None:
+    """Without a change of owner the machine is emptied before the wave's time runs out."""
     owner, job_id = await built.owner(), built.new_id()
-    lasting = body_of_job(step_in_body(longRunning=True), spec={"seconds": 60})
-    await owner.call("POST", PREFIX + job_id, lasting)
+    long_running = body_of_job(step_in_body(longRunning=True), spec={"seconds": 60})
+    await owner.call("POST", PREFIX + job_id, long_running)
     await until(lambda: f"{job_id}.0.0.0" in built.audit.started)
     machine = next(iter(built.machines.machines.values()))
     wave = {"wave": 1, "machines": [machine.name], "durationS": WAVE, "maximum": 1}
@@ -95,9 +101,9 @@
 
 
 @with_cluster(members=3, executors=3)
-async def test_a_machine_that_is_down_is_not_waited_for_by_owners_in_series(built: Cluster) -> None:
-    """A machine goes down, the owner is killed before it notices, and all others are stopped in
-    turn. Each of them knows the executor for less time than the list of machines may be behind."""
+async def test_successive_owners_do_not_wait_for_a_machine_that_is_down(built: Cluster) -> None:
+    """A machine goes down, the owner is killed before it detects this, and all others are stopped
+    in turn. Each tracks the executor for less time than the list of machines may be outdated."""
     task = await silence_an_executor(built)
     name = next(host.executor.name for host in built.hosts.values() if host.executor.faults.silent)
     machine = built.machines.machines[built.hosts[name].machine]
@@ -110,7 +116,7 @@
 
 
 async def stop_in_turn(built: Cluster) -> None:
-    """Kill the owner, then stop each of its successors as planned after a short term."""
+    """Kill the owner, then stop each later owner as planned after a short term."""
     await kill(built, await built.owner())
     while True:
         await built.owner()
@@ -118,9 +124,9 @@
         await stop(built, await built.owner())
 
 
-def test_records_of_versions_that_did_not_store_where_tasks_failed_stay_readable() -> None:
-    """Entries of two versions own a shard in turn during an update. A record that either of them
-    could not read would take its job away from everybody."""
+def test_records_without_the_executors_of_failed_tasks_stay_readable() -> None:
+    """Entries of two versions own a shard in turn during an update. If either could not read a
+    record, its job would be lost."""
     harness = ShardHarness(facts("i-1"))
     item = job()
     harness.admit(item)
@@ -135,14 +141,14 @@
 
 
 @with_cluster(members=1, executors=1)
-async def test_the_time_of_a_wave_is_stored_at_first_sight_and_not_each_turn(
+async def test_age_of_a_wave_is_stored_once_and_not_in_each_cycle(
     built: Cluster,
 ) -> None:
-    """A successor knows nothing of a wave's age that was not stored before its owner was killed;
-    a store that is written each turn, though nothing changes, is load for nobody's good."""
+    """A new owner knows the age of a wave only if it was stored before the previous owner was
+    killed. A write in each scheduling cycle would load the store without any benefit."""
     owner, job_id = await built.owner(), built.new_id()
-    lasting = body_of_job(step_in_body(longRunning=True), spec={"seconds": 60})
-    await owner.call("POST", PREFIX + job_id, lasting)
+    long_running = body_of_job(step_in_body(longRunning=True), spec={"seconds": 60})
+    await owner.call("POST", PREFIX + job_id, long_running)
     await until(lambda: f"{job_id}.0.0.0" in built.audit.started)
     machine = next(iter(built.machines.machines.values()))
     wave = {"wave": 1, "machines": [machine.name], "durationS": 60.0, "maximum": 1}
@@ -156,12 +162,12 @@
 
 
 @with_cluster(members=2, executors=1)
-async def test_the_time_of_a_wave_begins_while_nobody_owns_the_shard(built: Cluster) -> None:
-    """A wave is asked for just after the owner was killed. The entry that takes over has known of
-    it all the time; counted from its first turn as owner, the wave would be late."""
+async def test_time_of_a_wave_begins_while_the_shard_has_no_owner(built: Cluster) -> None:
+    """A wave is requested just after the owner was killed. The entry that takes over has seen the
+    request before; if the time counted from its take-over, the wave would be late."""
     owner, job_id = await built.owner(), built.new_id()
-    lasting = body_of_job(step_in_body(longRunning=True), spec={"seconds": 60})
-    await owner.call("POST", PREFIX + job_id, lasting)
+    long_running = body_of_job(step_in_body(longRunning=True), spec={"seconds": 60})
+    await owner.call("POST", PREFIX + job_id, long_running)
     await until(lambda: f"{job_id}.0.0.0" in built.audit.started)
     machine = next(iter(built.machines.machines.values()))
     wave = {"wave": 1, "machines": [machine.name], "durationS": WAVE, "maximum": 1}
@@ -172,8 +178,7 @@
 
 
 async def _replace_a_silent_executor(built: Cluster, name: str) -> None:
-    """Let another executor live on the machine of the silent one, while the list of machines shows
-    none."""
+    """Start another executor on the machine of the silent one, and clear the list of machines."""
     host = next(host for host in built.hosts.values() if host.executor.faults.silent)
     host.executor.leave()
     built.machines.machines.clear()
@@ -181,9 +186,10 @@
 
 
 @with_cluster(members=2, executors=2)
-async def test_a_new_owner_knows_on_which_machine_an_executor_lived(built: Cluster) -> None:
-    """An executor has left, its entry with it, and the owner is stopped. Another one registers on
-    its machine, which proves that the former has ended; its successor must not wait for leases."""
+async def test_new_owner_knows_the_machine_of_an_unregistered_executor(built: Cluster) -> None:
+    """An executor has left, its registration is deleted, and the owner is stopped. Another executor
+    registers on the same machine, which proves that the first one has terminated, so the new owner
+    must not wait for its leases."""
     task = await silence_an_executor(built)
     await stop(built, await built.owner())
     await built.owner()
@@ -192,39 +198,39 @@
 
 
 @with_cluster(executors=2)
-async def test_a_sole_owner_knows_on_which_machine_an_executor_lived(built: Cluster) -> None:
-    """Without a change of owner the next executor on the machine ends the wait."""
+async def test_sole_owner_knows_the_machine_of_an_unregistered_executor(built: Cluster) -> None:
+    """Without a change of owner, the next executor on the machine ends the wait."""
     task = await silence_an_executor(built)
     await anyio.sleep(0.5)
     await _replace_a_silent_executor(built, "i-after")
     await until(lambda: built.audit.started[task] == 2, 3.0)
 
 
-def _with_a_lasting_run() -> ShardHarness:
+def _with_a_long_running_run() -> ShardHarness:
     harness = ShardHarness(facts("i-1", incarnation=5))
     harness.admit(job(step(long_running=True)))
     assert len(harness.place()) == 1
     return harness
 
 
-def test_the_next_executor_on_the_machine_of_one_that_is_gone_ends_its_runs() -> None:
-    after = succeed(_with_a_lasting_run(), machine="m-1", life=5)
+def test_next_executor_on_the_machine_of_a_terminated_one_ends_its_runs() -> None:
+    after = succeed(_with_a_long_running_run(), machine="m-1", incarnation=5)
     after.register(facts("i-2", incarnation=6, machine="m-1"))
     assert [run.executor for run in after.place()] == ["i-2"]
 
 
-def test_an_executor_that_lived_on_the_machine_before_proves_nothing() -> None:
-    """The executor started again on another machine, and a run that was decided before may have
-    begun in the new life. The entry of the one that lived there earlier still stands; it registered
-    after the former life and before the new one. Believed, the task would run twice."""
-    after = succeed(_with_a_lasting_run(), machine="m-2", life=20)
+def test_earlier_executor_on_the_machine_does_not_end_the_runs_of_a_later_one() -> None:
+    """An executor restarted on another machine, and a run planned before may have started in the
+    new incarnation. The registration of the executor that used that machine earlier still exists.
+    If it counted as proof of termination, the task would run twice."""
+    after = succeed(_with_a_long_running_run(), machine="m-2", incarnation=20)
     after.register(facts("i-2", incarnation=10, machine="m-2"))
     assert after.place() == []
     assert len(after.shard.ledger.executors["i-1"].runs) == 1
 
 
-def test_a_run_of_a_life_that_began_later_is_not_on_the_machine_of_the_former() -> None:
-    """What is stored of the machine is older than the run."""
-    after = succeed(_with_a_lasting_run(), machine="m-1", life=4)
+def test_stored_machine_of_an_earlier_incarnation_is_not_used_for_a_later_run() -> None:
+    """The stored machine is older than the run."""
+    after = succeed(_with_a_long_running_run(), machine="m-1", incarnation=4)
     after.register(facts("i-2", incarnation=6, machine="m-1"))
     assert after.place() == []
--- a/vanillawell/tests/renewal_tests.py
+++ b/vanillawell/tests/renewal_tests.py
@@ -1,43 +1,43 @@
-"""Prove that an owner keeps its shard though single answers to its renewals are lost.
+"""Test that an owner keeps its shard although single answers to its renewals are lost.
 
-The pattern: the path loses track of a connection, or the store's answers get lost. Each change of
-owner keeps callers waiting, and one after the other they keep lasting tasks away.
+The failure: the network path drops the state of a connection, or answers of the store are lost.
+Each change of owner delays callers, and repeated changes delay the restart of long-running tasks.
 """
 
 from __future__ import annotations
 
 import anyio
 
-from vanillawell.coordination.term import LEASE
+from vanillawell.coordination.term import OWNERSHIP_LEASE
 from vanillawell.tests.scheduler_cluster import Cluster, until, with_cluster
 
 
 @with_cluster(members=2)
-async def test_an_owner_outlives_one_lost_answer_to_its_renewals(built: Cluster) -> None:
-    """The store renews the lease and its answer is lost. Waited for as long as the lease lasts, it
-    would cost the owner its shard, though everything else it asks of the store is answered."""
+async def test_owner_survives_a_lost_answer_to_a_renewal(built: Cluster) -> None:
+    """The store renews the lease and its answer is lost. If the owner waited for this answer until
+    the lease expires, it would lose the shard although all its other calls are answered."""
     owner = await built.owner()
     term = owner.node.term
     assert term is not None
     built.store.faults.lose_renewals = 1
     await until(lambda: built.store.faults.lose_renewals == 0)
-    await anyio.sleep(2 * LEASE)
+    await anyio.sleep(2 * OWNERSHIP_LEASE)
     assert owner.node.term is term
 
 
 @with_cluster(members=2)
-async def test_an_entry_whose_take_over_got_no_answer_keeps_the_shard(built: Cluster) -> None:
-    """The store gives a free shard to an entry and its answer is lost. Waited for as long as the
-    lease lasts, the shard would be lost again before its new owner knows that it has it."""
-    former = await built.owner()
-    other = next(member for member in built.members if member is not former)
-    term = former.node.term
+async def test_entry_keeps_the_shard_after_a_lost_answer_to_its_claim(built: Cluster) -> None:
+    """An entry takes a free shard and the answer of the store is lost. If the entry waited for this
+    answer until the lease expires, it would lose the shard before it knows that it owns it."""
+    previous = await built.owner()
+    other = next(member for member in built.members if member is not previous)
+    term = previous.node.term
     assert term is not None
     built.store.faults.only = lambda body: "holder/all" in body
     built.store.faults.lose_answers = 1
-    await built.kill(former)
+    await built.kill(previous)
     await until(lambda: built.store.faults.lose_answers == 0)
     await until(lambda: other.owns)
-    await anyio.sleep(LEASE)
+    await anyio.sleep(OWNERSHIP_LEASE)
     assert other.node.term is not None
     assert other.node.term.token == term.token + 1
--- a/vanillawell/tests/renewed_lease_tests.py
+++ b/vanillawell/tests/renewed_lease_tests.py
@@ -1,4 +1,4 @@
-"""Prove that a lease is kept up, and not taken as held too long, while answers are late or lost."""
+"""Test that a lease is renewed and its expiry known while answers are late or lost."""
 
 from __future__ import annotations
 
@@ -8,7 +8,12 @@
 import anyio
 
 from vanillawell import clock
-from vanillawell.coordination.renewed_lease import DOUBT, RENEWALS, RENEWALS_AT_ONCE, RenewedLease
+from vanillawell.coordination.renewed_lease import (
+    MAX_PENDING_RENEWALS,
+    RENEWAL_RETRY_DELAY,
+    RENEWALS_PER_TTL,
+    RenewedLease,
+)
 from vanillawell.exceptions import StoreOutcomeUnknownError
 from vanillawell.platform.http import HttpClient
 from vanillawell.platform.store import ANSWER_BOUND, PlatformStore
@@ -24,20 +29,20 @@
 
 @dataclass
 class ScriptedStore:
-    """A store whose answers to renewals come as late as the test says, and at once after those."""
+    """Store that delays its first answers to renewals by the given times."""
 
     delays: list[float] = field(default_factory=list)
     alive: bool = True
     sent: list[float] = field(default_factory=list)
     fresh: list[bool] = field(default_factory=list)
-    under_way: int = 0
-    most_under_way: int = 0
+    pending: int = 0
+    max_pending: int = 0
 
     async def keep_alive(self, _lease: int, fresh: bool = False) -> bool:
         self.sent.append(clock.read())
         self.fresh.append(fresh)
-        self.under_way += 1
-        self.most_under_way = max(self.most_under_way, self.under_way)
+        self.pending += 1
+        self.max_pending = max(self.max_pending, self.pending)
         try:
             delay = self.delays.pop(0) if self.delays else 0.0
             await anyio.sleep(min(delay, ANSWER_BOUND))
@@ -45,38 +50,38 @@
                 raise StoreOutcomeUnknownError("lost by the test")
             return self.alive
         finally:
-            self.under_way -= 1
+            self.pending -= 1
 
 
-def _keep(store: ScriptedStore, check: Callable[[RenewedLease], Awaitable[None]]) -> None:
-    """Keep a lease that was granted just now up while `check` runs."""
+def _renew_while(store: ScriptedStore, check: Callable[[RenewedLease], Awaitable[None]]) -> None:
+    """Renew a newly granted lease while `check` runs."""
 
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
             lease = RenewedLease(cast("Any", store), 7, TTL, clock.read())
-            tasks.start_soon(lease.keep)
+            tasks.start_soon(lease.renew_until_ended)
             await check(lease)
             tasks.cancel_scope.cancel()
 
     anyio.run(run)
 
 
-def test_a_renewal_that_is_confirmed_late_counts_from_its_sending() -> None:
-    """The store takes a second to answer. Counted from the answer, the lease would be taken as held
-    for a second after the store has given it to another entry."""
+def test_renewal_confirmed_late_counts_from_when_it_was_sent() -> None:
+    """The store takes a second to answer. If the lease counted from the answer, it would be
+    considered valid for a second after the store may have granted the shard to another entry."""
     store = ScriptedStore(delays=[1.0, NEVER, NEVER, NEVER, NEVER])
 
     async def check(lease: RenewedLease) -> None:
-        await anyio.sleep(TTL / RENEWALS + 1.0 + 0.1)
+        await anyio.sleep(TTL / RENEWALS_PER_TTL + 1.0 + 0.1)
         first = store.sent[0]
         assert lease.is_held(first + TTL - 0.01)
         assert not lease.is_held(first + TTL + 0.01)
 
-    _keep(store, check)
+    _renew_while(store, check)
 
 
-def test_a_renewal_without_an_answer_counts_for_nothing() -> None:
-    """It may have been carried out or not."""
+def test_renewal_without_an_answer_does_not_extend_the_lease() -> None:
+    """The outcome of the renewal is unknown."""
     store = ScriptedStore(delays=[NEVER] * 9)
     granted = clock.read()
 
@@ -85,11 +90,11 @@
         assert not lease.is_held(clock.read())
         assert 0 < lease.lapsed_for(clock.read()) < clock.read() - granted - TTL + 0.1
 
-    _keep(store, check)
+    _renew_while(store, check)
 
 
-def test_two_lost_answers_in_a_row_do_not_cost_the_lease() -> None:
-    """Lost answers come in bursts. The next renewal is not held up by those before it."""
+def test_lease_survives_two_lost_answers_in_a_row() -> None:
+    """Answers are lost in bursts. Pending renewals must not delay the next one."""
     store = ScriptedStore(delays=[NEVER, NEVER])
 
     async def check(lease: RenewedLease) -> None:
@@ -97,62 +102,62 @@
             await anyio.sleep(0.1)
             assert lease.is_held(clock.read())
 
-    _keep(store, check)
+    _renew_while(store, check)
 
 
-def test_an_earlier_renewal_that_is_confirmed_last_takes_nothing_back() -> None:
-    """Answers overtake each other."""
-    store = ScriptedStore(delays=[DOUBT + 0.4])
+def test_earlier_renewal_confirmed_last_does_not_shorten_the_lease() -> None:
+    """The answers to two renewals arrive in reverse order."""
+    store = ScriptedStore(delays=[RENEWAL_RETRY_DELAY + 0.4])
 
     async def check(lease: RenewedLease) -> None:
-        await anyio.sleep(TTL / RENEWALS + DOUBT + 0.1)
+        await anyio.sleep(TTL / RENEWALS_PER_TTL + RENEWAL_RETRY_DELAY + 0.1)
         assert lease.is_held(store.sent[1] + TTL - 0.01)
         await anyio.sleep(0.4)
         assert lease.is_held(store.sent[1] + TTL - 0.01)
 
-    _keep(store, check)
+    _renew_while(store, check)
 
 
-def test_a_silent_store_is_asked_by_a_bounded_number_of_renewals() -> None:
-    """Calls are priced, those without an answer too."""
+def test_number_of_renewals_sent_to_an_unresponsive_store_is_bounded() -> None:
+    """Each call costs, even without an answer."""
     store = ScriptedStore(delays=[NEVER] * 99)
 
     async def check(_lease: RenewedLease) -> None:
-        await anyio.sleep(TTL / RENEWALS + 2 * ANSWER_BOUND)
+        await anyio.sleep(TTL / RENEWALS_PER_TTL + 2 * ANSWER_BOUND)
 
-    _keep(store, check)
-    assert store.most_under_way == RENEWALS_AT_ONCE
-    assert len(store.sent) <= 2 * RENEWALS_AT_ONCE + 1
+    _renew_while(store, check)
+    assert store.max_pending == MAX_PENDING_RENEWALS
+    assert len(store.sent) <= 2 * MAX_PENDING_RENEWALS + 1
 
 
-def test_a_store_that_answers_is_asked_no_more_often_than_needed() -> None:
-    """Renewals are priced."""
+def test_number_of_renewals_sent_to_a_healthy_store_is_bounded() -> None:
+    """Each renewal costs."""
     store = ScriptedStore()
 
     async def check(_lease: RenewedLease) -> None:
         await anyio.sleep(2 * TTL + 0.2)
 
-    _keep(store, check)
-    assert len(store.sent) <= 2 * RENEWALS
+    _renew_while(store, check)
+    assert len(store.sent) <= 2 * RENEWALS_PER_TTL
     assert not any(store.fresh)
 
 
-def test_a_lease_that_the_store_has_ended_is_renewed_no_more() -> None:
-    """Another entry may have taken what it stood for."""
+def test_lease_that_has_expired_in_the_store_is_no_longer_renewed() -> None:
+    """Another entry may have taken the shard."""
     store = ScriptedStore(alive=False)
 
     async def run() -> None:
         lease = RenewedLease(cast("Any", store), 7, TTL, clock.read())
         with anyio.fail_after(TTL):
-            assert await lease.keep() == "the lease has ended"
+            assert await lease.renew_until_ended() == "the lease has expired"
 
     anyio.run(run)
     assert len(store.sent) == 1
 
 
-def test_a_renewal_after_one_without_an_answer_goes_over_a_new_connection() -> None:
-    """The path loses track of all connections that are open. Sent over the next of these, renewals
-    would stay without an answer until the first has been waited for as long as the lease lasts."""
+def test_renewal_after_an_unanswered_one_uses_a_new_connection() -> None:
+    """The network path drops the state of all open connections. Further renewals over these would
+    remain unanswered until the lease has expired."""
 
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
@@ -165,8 +170,8 @@
                     readings.start_soon(store.get, "key")
             opened = http.opened
             stand_in.faults.lose_renewals = 1
-            tasks.start_soon(lease.keep)
-            await anyio.sleep(TTL / RENEWALS + DOUBT + 0.2)
+            tasks.start_soon(lease.renew_until_ended)
+            await anyio.sleep(TTL / RENEWALS_PER_TTL + RENEWAL_RETRY_DELAY + 0.2)
             assert stand_in.faults.lose_renewals == 0
             assert http.opened == opened + 1
             assert lease.is_held(granted + TTL + 0.1)
--- a/vanillawell/tests/scheduler_cluster.py
+++ b/vanillawell/tests/scheduler_cluster.py
@@ -1,4 +1,4 @@
-"""Build a small cluster for tests: stand-ins on loopback ports, schedulers in this process."""
+"""Build a small cluster for tests: stand-ins on loopback ports and schedulers in this process."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 def config(version: int = 1, **changes: Any) -> dict[str, Any]:
-    """Return an operators' configuration in the platform's format."""
+    """Return a configuration in the operators' format."""
     route = {
         "name": "plain",
         "host": HOST,
@@ -69,30 +69,30 @@
 
 
 def step(count: int = 1, **fields: Any) -> dict[str, Any]:
-    """Return a step of a job in the platform's format."""
+    """Return a step of a job in the format of the platform."""
     return {"count": count, "cpu": 1_000, "memMb": 10, "estimateMs": 200, **fields}
 
 
 def job(*steps: dict[str, Any], spec: dict[str, Any] | None = None, **fields: Any) -> bytes:
-    """Return a job's body; `spec` tells the stand-in executors what its tasks do."""
+    """Return the body of a job; `spec` defines what its tasks do on the stand-in executors."""
     document = {"spec": orjson.dumps(spec or {}).decode(), "steps": steps or (step(),), **fields}
     return orjson.dumps(document)
 
 
 @dataclass(slots=True)
 class InterruptibleStore:
-    """Stand between one scheduler and the store, so that just its path can be cut."""
+    """Store wrapper of one scheduler whose path to the store can be cut or slowed down."""
 
     inner: FollowedStore
     cut: bool = False
     listing_time: float = 0.0
-    """Seconds that a listing takes to arrive."""
+    """Seconds by which listings are delayed."""
     slow_prefix: str = ""
-    """Beginning of the prefixes for which that holds."""
+    """Only listings of prefixes that begin with this are delayed."""
     answer_time: float = 0.0
-    """Seconds that the answer to a write takes to arrive, after the write was carried out."""
+    """Seconds by which the answer to a write is delayed after the write was carried out."""
     listed: list[str] = field(default_factory=list)
-    """Prefixes of all listings that were asked for."""
+    """Prefixes of all requested listings."""
 
     def _check(self) -> None:
         if self.cut:
@@ -137,7 +137,7 @@
 
 @dataclass(slots=True)
 class Host:
-    """Where an executor lives; its present life can be replaced."""
+    """Host of an executor, whose current incarnation can be replaced."""
 
     executor: StandInExecutor
     address: str
@@ -150,7 +150,7 @@
 
 @dataclass(slots=True)
 class Reply:
-    """Answer to a caller."""
+    """Response to a caller."""
 
     status: int
     document: Any
@@ -169,7 +169,7 @@
 
     @property
     def owns(self) -> bool:
-        """Tell whether it owns the shard now."""
+        """Return whether this scheduler owns the shard."""
         return self.node.owns
 
     async def call(
@@ -180,7 +180,7 @@
         key: str | None = KEY,
         wait_ms: int = 2000,
     ) -> Reply:
-        """Make one call as a caller would."""
+        """Make one call as a caller."""
         headers = [(b"host", HOST.encode()), (b"x-deadline-ms", str(wait_ms).encode())]
         if key is not None:
             headers.append((b"x-key", key.encode()))
@@ -199,14 +199,14 @@
         return Reply(start["status"], orjson.loads(content) if content else None, pairs)
 
     async def state(self, job_id: str, prefix: str = PREFIX) -> str:
-        """Return a job's state; `gone` if it is not known."""
+        """Return the state of a job, or the response status if it is not 200."""
         reply = await self.call("GET", prefix + job_id)
         return reply.document["state"] if reply.status == 200 else f"status {reply.status}"
 
 
 @dataclass(slots=True)
 class Cluster:
-    """Stand-ins and schedulers."""
+    """Stand-ins and schedulers of one test."""
 
     tasks: TaskGroup
     store: StandInStore
@@ -220,7 +220,7 @@
     _ids: Any = field(default_factory=lambda: itertools.count(1))
 
     def new_id(self) -> str:
-        """Return a job id that was not used before."""
+        """Return a new job id."""
         return f"{next(self._ids):016x}"
 
     async def add_executor(
@@ -231,7 +231,7 @@
         machine: str = "",
         born: int = 1_000,
     ) -> Host:
-        """Start an executor, on a machine of its own unless one is named, and register it."""
+        """Start and register an executor, on a machine of its own unless `machine` is given."""
         executor = StandInExecutor(name, self.audit, self.executors, cpu, born)
         self.executors.append(executor)
         host = Host(executor, "", machine or f"machine-of-{name}", rack)
@@ -243,7 +243,7 @@
         return host
 
     def register(self, name: str, **changes: Any) -> None:
-        """Write an executor's entry in the registry."""
+        """Write the registration of an executor."""
         host = self.hosts[name]
         document = {
             "service": POOL,
@@ -261,22 +261,22 @@
         self.store.put_document(f"servers/{name}", {**document, **changes})
 
     def drain(self, name: str, seconds: float) -> None:
-        """Let an executor say that it leaves after `seconds` at the earliest."""
+        """Register an executor as draining, to leave after `seconds` at the earliest."""
         self.register(name, state="draining", remainingMs=seconds * 1000)
 
     def leave(self, name: str) -> None:
-        """Let an executor leave: all that it runs ends, and it answers nothing any more."""
+        """Terminate an executor: all its runs end, and it no longer answers."""
         self.hosts[name].executor.leave()
         self.store.delete(f"servers/{name}")
 
     def restart(self, name: str) -> None:
-        """Crash an executor and start it again under its id."""
+        """Crash an executor and restart it under the same id."""
         host = self.hosts[name]
         host.executor = host.executor.crash()
         self.tasks.start_soon(host.executor.tick)
 
     def add_member(self, instance: str, capacity: dict[str, float] | None = None) -> Member:
-        """Start a scheduler, with as much of its machine as `capacity` says."""
+        """Start a scheduler with the given capacity of its machine."""
         settings = NodeSettings.model_validate(
             {
                 "instance": instance,
@@ -310,13 +310,13 @@
         return member
 
     async def kill(self, member: Member) -> None:
-        """End a scheduler without any notice."""
+        """Kill a scheduler without notice."""
         member.scope.cancel()
         await member.ended.wait()
         self.members.remove(member)
 
     async def owner(self) -> Member:
-        """Return the scheduler that owns the shard, waiting for one."""
+        """Wait until a scheduler owns the shard and return it."""
         await until(lambda: any(member.owns for member in self.members), 8)
         return next(member for member in self.members if member.owns)
 
@@ -332,7 +332,7 @@
 
 
 def listen(tasks: TaskGroup, app: Any) -> str:
-    """Serve an application on a free loopback port; returns its address."""
+    """Serve an application on a free loopback port and return its address."""
     listener = bind("127.0.0.1", 0, "test")
     tasks.start_soon(_serve, app, listener)
     host, port = listener.getsockname()[:2]
@@ -344,14 +344,14 @@
 
 
 async def until(holds: Callable[[], bool], seconds: float = 5.0) -> None:
-    """Wait until something holds; fails after `seconds`."""
+    """Wait until the condition holds; fail after `seconds`."""
     with anyio.fail_after(seconds):
         while not holds():
             await anyio.sleep(0.01)
 
 
 async def until_state(member: Member, job_id: str, state: str, seconds: float = 5.0) -> None:
-    """Wait until a job is shown in a state; fails after `seconds`."""
+    """Wait until a job is in the given state; fail after `seconds`."""
     with anyio.fail_after(seconds):
         while await member.state(job_id) != state:
             await anyio.sleep(0.02)
@@ -359,7 +359,7 @@
 
 @asynccontextmanager
 async def cluster(members: int = 1, executors: int = 2) -> AsyncIterator[Cluster]:
-    """Run a cluster whose schedulers have a configuration and know all executors."""
+    """Run a cluster whose schedulers have a configuration and registered executors."""
     async with anyio.create_task_group() as tasks:
         store, machines = StandInStore(), StandInMachines()
         machines.serve_with(tasks)
@@ -383,7 +383,7 @@
 
 
 def with_cluster(members: int = 1, executors: int = 2) -> Callable[..., Callable[[], None]]:
-    """Run an async test on a cluster of its own."""
+    """Return a decorator that runs an async test on a cluster of its own."""
 
     def decorate(test: Callable[[Cluster], Any]) -> Callable[[], None]:
         async def run() -> None:
@@ -395,7 +395,8 @@
         def plain() -> None:
             anyio.run(run)
 
-        del plain.__wrapped__  # pytest would ask for a fixture named like the test's argument
+        # With `__wrapped__`, pytest would request a fixture named like the test's argument.
+        del plain.__wrapped__
         return plain
 
     return decorate
