--- a/vanillawell/tests/scheduler_failure_tests.py
+++ b/vanillawell/tests/scheduler_failure_tests.py
@@ -1,14 +1,14 @@
-"""Prove that jobs survive the loss of whatever carries them, and that nothing runs twice.
+"""Test that jobs survive failures of entries, executors and the store, and that no task runs twice.
 
-The stand-in executors note every second run of a task, every start after a confirmed end, and every
-overload; each test fails if they noted any.
+The stand-in executors record each concurrent second run of a task, each start after a confirmed end
+and each overload; a test fails if they have recorded any.
 """
 
 from __future__ import annotations
 
 import anyio
 
-from vanillawell.coordination.holder_watch import HOLDER_WAIT
+from vanillawell.coordination.holder_watch import WATCH_TIMEOUT
 from vanillawell.protocol.work_documents import WorkKeys
 from vanillawell.tests.scheduler_cluster import (
     PREFIX,
@@ -27,9 +27,9 @@
 
 
 @with_cluster(members=3)
-async def test_running_work_outlives_its_owner(built: Cluster) -> None:
-    """The owner of the shard is killed while tasks run. Callers notice nothing: what ran goes on,
-    what was waiting is started by another entry within 2.5 seconds."""
+async def test_running_tasks_survive_the_loss_of_their_owner(built: Cluster) -> None:
+    """The owner of the shard is killed while tasks run. Running tasks continue, and waiting ones
+    are started by another entry within 2.5 seconds."""
     owner = await built.owner()
     job_id, waiting = built.new_id(), built.new_id()
     await owner.call("POST", PREFIX + job_id, job(step(4), spec={"seconds": 2.5}))
@@ -43,9 +43,9 @@
 
 
 @with_cluster(members=2)
-async def test_an_owner_that_loses_only_the_store_is_replaced(built: Cluster) -> None:
-    """The store turns just the owner away. Another entry takes over; the former owner finds out at
-    an executor or at the store, and gives nothing a second start."""
+async def test_owner_that_cannot_reach_the_store_is_replaced(built: Cluster) -> None:
+    """The store is unreachable for the owner only. Another entry takes over; the previous owner
+    detects this at an executor or at the store, and starts no task a second time."""
     owner = await built.owner()
     job_id = built.new_id()
     other = next(member for member in built.members if member is not owner)
@@ -64,22 +64,22 @@
 
 
 @with_cluster(members=2)
-async def test_an_owner_that_is_lost_while_the_store_is_deaf_is_replaced(built: Cluster) -> None:
-    """The owner is killed, and its lease ends while the store tells of no change. Another entry
-    owns the shard soon after the store can be heard again, or all jobs would wait for good."""
+async def test_owner_lost_while_the_store_delivers_no_changes_is_replaced(built: Cluster) -> None:
+    """The owner is killed, and its lease expires while the store delivers no changes to watches.
+    Another entry has to own the shard soon after the store delivers changes again."""
     owner = await built.owner()
     survivor = next(member for member in built.members if member is not owner)
     built.store.faults.deaf = True
     await built.kill(owner)
     await until(lambda: WorkKeys().holder("all") not in built.store.items, 3)
-    await anyio.sleep(2 * HOLDER_WAIT)
+    await anyio.sleep(2 * WATCH_TIMEOUT)
     built.store.faults.deaf = False
     await until(lambda: survivor.owns, 2.5)
 
 
 @with_cluster(members=2)
-async def test_a_planned_stop_hands_the_shard_over_at_once(built: Cluster) -> None:
-    """The owner is asked to stop. Another entry owns the shard well before the lease would end."""
+async def test_planned_stop_hands_the_shard_over_at_once(built: Cluster) -> None:
+    """The owner is requested to stop. Another entry owns the shard before the lease expires."""
     owner = await built.owner()
     other = next(member for member in built.members if member is not owner)
     await owner.node.hand_over()
@@ -90,9 +90,9 @@
 
 
 @with_cluster(members=3)
-async def test_an_entry_that_is_stopping_takes_nothing_over(built: Cluster) -> None:
-    """All entries are restarted one after the other. The owner is lost while another entry is
-    already stopping; if that one took the shard, it would be without an owner again in a moment."""
+async def test_stopping_entry_does_not_take_the_shard(built: Cluster) -> None:
+    """During a rolling restart the owner is lost while another entry is stopping. If that one took
+    the shard, it would soon be without an owner again."""
     owner = await built.owner()
     stopping, other = (member for member in built.members if member is not owner)
     await stopping.node.hand_over()
@@ -102,9 +102,9 @@
 
 
 @with_cluster()
-async def test_a_lost_answer_never_makes_a_refusal_of_a_stored_job(built: Cluster) -> None:
-    """The store takes a job in and its answer is lost. The caller must not hear that the job was
-    refused: it would hand the work in elsewhere while it runs here."""
+async def test_stored_job_is_not_refused_because_of_a_lost_answer(built: Cluster) -> None:
+    """The store stores a job and its answer is lost. The caller must not be told that the job was
+    refused, or it would submit the work elsewhere while it runs here."""
     member, job_id = built.members[0], built.new_id()
     built.store.faults.only = lambda body: "inbox/job" in body
     built.store.faults.lose_answers = 1
@@ -114,9 +114,9 @@
 
 
 @with_cluster()
-async def test_an_unknown_acceptance_is_told_as_unknown(built: Cluster) -> None:
-    """The write of a job gets no answer until the caller's time is over, and takes effect later.
-    The caller is told that nothing is known, and its next try finds the one job."""
+async def test_unknown_acceptance_is_reported_as_unknown(built: Cluster) -> None:
+    """The write of a job gets no answer until the caller's deadline, and takes effect later. The
+    caller is told that the outcome is unknown, and its retry does not create a second job."""
     member, job_id = built.members[0], built.new_id()
     built.store.faults.only = lambda body: "inbox/job" in body
     built.store.faults.lose_late = 1
@@ -129,9 +129,9 @@
 
 
 @with_cluster()
-async def test_lost_answers_of_the_owners_writes_lose_and_repeat_nothing(built: Cluster) -> None:
-    """Answers of the owner's own writes are lost, some of which take effect only later, after
-    newer ones were tried. Callers only wait longer."""
+async def test_lost_answers_to_writes_of_the_owner_only_delay_jobs(built: Cluster) -> None:
+    """Answers to the owner's writes are lost, and some writes take effect only after newer ones
+    were tried. No job is lost and no task runs twice."""
     member = built.members[0]
     ids = [built.new_id() for _ in range(6)]
     built.store.faults.only = lambda body: "vanillawell/record" in body
@@ -146,9 +146,9 @@
 
 
 @with_cluster()
-async def test_jobs_are_refused_as_not_run_while_the_store_is_away(built: Cluster) -> None:
-    """The store refuses all calls. Callers hear at once that their job was not taken and when to
-    come back; work that runs goes on and is shown as completed afterwards."""
+async def test_jobs_are_refused_as_not_run_while_the_store_is_unreachable(built: Cluster) -> None:
+    """The store refuses all calls. Callers are told at once that their job was not accepted and
+    when to retry; running tasks continue, and their job is shown as completed afterwards."""
     member, job_id, refused = built.members[0], built.new_id(), built.new_id()
     await member.call("POST", PREFIX + job_id, job(step(2), spec={"seconds": 1.0}))
     await until(lambda: running(built) == 2)
@@ -164,9 +164,9 @@
 
 
 @with_cluster()
-async def test_ends_are_confirmed_only_once_they_are_stored(built: Cluster) -> None:
-    """A task ends while the store is away, and the owner is killed before it can store that. Its
-    successor must hear of the end from the executor, or the work would be done again."""
+async def test_ends_are_confirmed_only_after_they_are_stored(built: Cluster) -> None:
+    """A task ends while the store is unreachable, and the owner is killed before it can store this.
+    The executor must still report the end to the next owner, or the task would run again."""
     owner = await built.owner()
     job_id = built.new_id()
     await owner.call("POST", PREFIX + job_id, job(spec={"seconds": 0.4}))
@@ -184,8 +184,8 @@
 
 
 @with_cluster()
-async def test_a_start_without_an_answer_is_settled_and_not_repeated(built: Cluster) -> None:
-    """An executor starts a task and its answer is lost. The task is found running there."""
+async def test_start_without_an_answer_is_resolved_and_not_repeated(built: Cluster) -> None:
+    """An executor starts a task and its answer is lost. The owner finds the task running there."""
     member, job_id = built.members[0], built.new_id()
     for executor in built.executors:
         executor.faults.lose_answers = 1
@@ -195,11 +195,11 @@
 
 
 @with_cluster(executors=1)
-async def test_an_executor_that_left_one_order_unanswered_goes_on_getting_work(
+async def test_executor_still_gets_tasks_after_one_unanswered_order(
     built: Cluster,
 ) -> None:
-    """One answer in fifteen is lost on a bad day. An executor that answers all others is sound; if
-    each lost answer kept new work away from it for a second, the callers of a peak would wait."""
+    """One answer in fifteen may be lost. An executor that answers all other calls is healthy; if
+    each lost answer blocked placement on it for a second, callers would wait under load."""
     member, executor = built.members[0], built.executors[0]
     first, second, third = built.new_id(), built.new_id(), built.new_id()
     executor.faults.lose_answers = 1
@@ -213,9 +213,9 @@
 
 
 @with_cluster(executors=1)
-async def test_a_lost_report_hides_the_end_of_a_task_for_a_moment_only(built: Cluster) -> None:
-    """One report in fifteen is lost on a bad day. Until that is noticed, the executor's ends are
-    not seen, its room is not used, and everybody waits who needs either."""
+async def test_lost_report_delays_the_end_of_a_task_only_briefly(built: Cluster) -> None:
+    """One report in fifteen may be lost. Until the owner detects this, ends of runs on the executor
+    are unknown and its free capacity is not used."""
     member, executor, job_id = built.members[0], built.executors[0], built.new_id()
     await member.call("POST", PREFIX + job_id, job(step(2), spec={"seconds": 0.4}))
     await until(lambda: len(executor.running) == 2)
@@ -224,9 +224,9 @@
 
 
 @with_cluster()
-async def test_an_order_that_is_carried_out_late_starts_nothing_twice(built: Cluster) -> None:
-    """An order gets no answer and is carried out two seconds later, after the same task might have
-    been started elsewhere. It is ruled out at its executor first."""
+async def test_order_carried_out_late_does_not_start_a_task_twice(built: Cluster) -> None:
+    """An order gets no answer and is carried out two seconds later, when the same task could have
+    been started elsewhere. The owner has to revoke it at its executor first."""
     member, job_id = built.members[0], built.new_id()
     for executor in built.executors:
         executor.faults.apply_late = 2.0
@@ -236,9 +236,9 @@
 
 
 @with_cluster()
-async def test_work_of_a_crashed_executor_starts_again(built: Cluster) -> None:
-    """An executor crashes and starts again under its id. It knows nothing of before; what it ran
-    is started again, once."""
+async def test_tasks_of_a_crashed_executor_are_restarted(built: Cluster) -> None:
+    """An executor crashes and restarts under the same id without any state. Its tasks are restarted
+    once."""
     member, job_id = built.members[0], built.new_id()
     await member.call("POST", PREFIX + job_id, job(step(4), spec={"seconds": 1.0}))
     await until(lambda: running(built) == 4)
@@ -249,9 +249,9 @@
 
 
 @with_cluster()
-async def test_work_of_a_silent_executor_waits_for_its_lease(built: Cluster) -> None:
-    """An executor falls silent and runs on. Its tasks start elsewhere only when its lease has
-    surely ended, or they would run twice."""
+async def test_tasks_of_an_unresponsive_executor_wait_for_its_lease(built: Cluster) -> None:
+    """An executor becomes unresponsive but keeps running. Its tasks may start elsewhere only after
+    its lease has certainly expired, or they would run twice."""
     member, job_id = built.members[0], built.new_id()
     await member.call("POST", PREFIX + job_id, job(step(2), spec={"seconds": 20}))
     await until(lambda: running(built) == 2)
@@ -263,8 +263,8 @@
 
 
 @with_cluster(members=2)
-async def test_a_forgotten_history_loses_no_news(built: Cluster) -> None:
-    """The store drops its history while entries follow it. They list anew and miss nothing."""
+async def test_compacted_history_loses_no_changes(built: Cluster) -> None:
+    """The store compacts its history while entries watch it. They list again and miss no change."""
     member = built.members[0]
     ids = [built.new_id() for _ in range(4)]
     for job_id in ids:
@@ -275,9 +275,9 @@
 
 
 @with_cluster()
-async def test_a_store_that_is_deaf_for_a_while_delays_no_job(built: Cluster) -> None:
-    """The store tells of no change for some seconds. Jobs start all the same, well before it
-    tells again, and a job that is cancelled meanwhile is stopped."""
+async def test_store_that_delivers_no_changes_delays_no_job(built: Cluster) -> None:
+    """The store delivers no changes to watches for some seconds. Jobs still start early, and a job
+    that is cancelled meanwhile is stopped."""
     member, first, second = built.members[0], built.new_id(), built.new_id()
     built.store.faults.deaf = True
     await anyio.sleep(0.3)
@@ -291,9 +291,8 @@
 
 
 @with_cluster(members=2)
-async def test_everything_restarts_with_all_accepted_jobs(built: Cluster) -> None:
-    """All entries lose power right after a job was accepted. It is completed by those that start
-    after them."""
+async def test_accepted_job_survives_the_loss_of_all_entries(built: Cluster) -> None:
+    """All entries lose power right after a job was accepted. Entries started later complete it."""
     job_id = built.new_id()
     await built.members[0].call("POST", PREFIX + job_id, job(step(2)))
     for member in list(built.members):
@@ -305,11 +304,11 @@
 
 
 @with_cluster(members=2)
-async def test_a_cancelled_run_on_a_vanished_executor_does_not_stop_its_new_owner(
+async def test_cancelled_run_on_an_unregistered_executor_does_not_block_a_new_owner(
     built: Cluster,
 ) -> None:
-    """A job is cancelled, its executor leaves the registry, and then the owner is lost. Its
-    successor has a run to stop at an address that nobody knows; all other work must go on."""
+    """A job is cancelled, its executor is unregistered, and then the owner is lost. The new owner
+    has to stop a run at an unknown address; all other jobs must continue."""
     owner = await built.owner()
     job_id, other_id = built.new_id(), built.new_id()
     await owner.call("POST", PREFIX + job_id, job(spec={"seconds": 30}))
@@ -328,13 +327,15 @@
 
 
 @with_cluster(executors=3)
-async def test_a_machine_whose_entry_has_lapsed_is_not_taken_down_in_use(built: Cluster) -> None:
-    """The entries of executors lapse while the executors live and work on, as after an outage of
-    the store. Their machines look unused; taken down for upkeep together, they would end all tasks
-    of a step of which one may be away."""
+async def test_machine_in_use_with_an_expired_registration_is_not_taken_down(
+    built: Cluster,
+) -> None:
+    """The registrations of executors expire while the executors keep running, as after an outage of
+    the store. Their machines look unused. If upkeep began on all of them, it would end all tasks of
+    a step of which only one may be unavailable."""
     job_id, member = built.new_id(), built.members[0]
-    lasting = step(2, longRunning=True, maxUnavailable=1, maxPerServer=1)
-    await member.call("POST", PREFIX + job_id, job(lasting, spec={"seconds": 60}))
+    long_running = step(2, longRunning=True, maxUnavailable=1, maxPerServer=1)
+    await member.call("POST", PREFIX + job_id, job(long_running, spec={"seconds": 60}))
     await until(lambda: sum(len(executor.running) for executor in built.executors) == 2)
     for name in built.hosts:
         built.store.delete(f"servers/{name}")
@@ -350,8 +351,8 @@
 
 @with_cluster()
 async def test_damaged_progress_of_a_wave_stops_no_job(built: Cluster) -> None:
-    """What an owner stored of a wave is damaged. Whoever reads it next must go on with all jobs; an
-    owner that failed on it would hand the same failure to the next one."""
+    """The stored progress of a wave is damaged. The next owner must continue with all jobs; if it
+    failed, so would each of its successors."""
     member, job_id = built.members[0], built.new_id()
     built.store.put("vanillawell/wave/1", "e30=")
     wave = {"wave": 1, "machines": list(built.machines.machines), "durationS": 20, "maximum": 1}
@@ -363,20 +364,20 @@
 
 
 @with_cluster(executors=3)
-async def test_upkeep_takes_no_task_away_while_another_of_its_step_is_out_of_reach(
+async def test_upkeep_stops_no_task_while_another_task_of_its_step_is_unreachable(
     built: Cluster,
 ) -> None:
-    """One executor goes dark, and its lasting task with it; the owner's last word of it says that
-    it works. Its lease has seconds to go. Upkeep of the machine of the step's other task, of which
-    one may be away, must wait: stopped now, nobody would do the job's work."""
+    """One executor with a long-running task becomes unreachable; according to its last report the
+    task runs, and its lease has not expired. Only one task of the step may be unavailable, so
+    upkeep of the machine of the other task must wait."""
     job_id, short, member = built.new_id(), built.new_id(), built.members[0]
-    lasting = step(2, longRunning=True, maxUnavailable=1, maxPerServer=1)
-    await member.call("POST", PREFIX + job_id, job(lasting, spec={"seconds": 60}))
+    long_running = step(2, longRunning=True, maxUnavailable=1, maxPerServer=1)
+    await member.call("POST", PREFIX + job_id, job(long_running, spec={"seconds": 60}))
     await member.call("POST", PREFIX + short, job(step(3, maxPerServer=1), spec={"seconds": 60}))
     await until(lambda: running(built) == 5)
-    dark, other = [executor for executor in built.executors if len(executor.running) == 2]
+    unreachable, other = [executor for executor in built.executors if len(executor.running) == 2]
     kept = next(name for name in other.running if name.startswith(job_id))
-    dark.faults.silent = True
+    unreachable.faults.silent = True
     await anyio.sleep(2.0)
     wave = {"wave": 1, "machines": [f"machine-of-{other.name}"], "durationS": 20, "maximum": 1}
     built.store.put_document("op/wave/1", wave)
--- a/vanillawell/tests/scheduler_path_tests.py
+++ b/vanillawell/tests/scheduler_path_tests.py
@@ -1,4 +1,4 @@
-"""Prove the way of a job from its caller to its end, through the platform's formats."""
+"""Test the path of a job from submission to completion, in the formats of the platform."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 @with_cluster(members=2)
-async def test_a_job_runs_from_acceptance_to_completion(built: Cluster) -> None:
+async def test_job_runs_from_acceptance_to_completion(built: Cluster) -> None:
     job_id = built.new_id()
     first, second = built.members
     reply = await first.call("POST", PREFIX + job_id, job(step(3), step(2, after=[0])))
@@ -31,7 +31,7 @@
 
 
 @with_cluster()
-async def test_the_same_job_handed_in_again_stays_one_job(built: Cluster) -> None:
+async def test_resubmitted_job_runs_once(built: Cluster) -> None:
     job_id, member = built.new_id(), built.members[0]
     for _ in range(3):
         assert (await member.call("POST", PREFIX + job_id, job())).status == 200
@@ -52,7 +52,7 @@
 
 
 @with_cluster()
-async def test_unusable_calls_get_clear_answers(built: Cluster) -> None:
+async def test_invalid_calls_get_specific_status_codes(built: Cluster) -> None:
     member, job_id = built.members[0], built.new_id()
     cases = [
         ("POST", PREFIX + job_id, b"{", KEY, 400),
@@ -75,8 +75,8 @@
 
 
 @with_cluster()
-async def test_unreadable_entries_in_the_store_do_no_harm(built: Cluster) -> None:
-    """Another writer leaves bytes that are no entry; callers notice nothing."""
+async def test_unreadable_documents_in_the_store_are_ignored(built: Cluster) -> None:
+    """Another writer stores invalid documents; callers are not affected."""
     member = built.members[0]
     built.store.put("servers/i-odd", "AAAA")
     built.store.put_document("servers/i-poor", {"service": 7, "state": "ready"})
@@ -89,9 +89,9 @@
 
 
 @with_cluster(members=2)
-async def test_an_unreadable_record_stops_nothing_but_its_own_job(built: Cluster) -> None:
-    """The record of one job is damaged, and then the owner is lost. All other jobs must go on, and
-    whoever asks about the damaged one gets a clear answer."""
+async def test_unreadable_record_affects_only_its_own_job(built: Cluster) -> None:
+    """The record of one job is damaged, and then the owner is lost. All other jobs must continue,
+    and queries for the damaged one get a definite answer."""
     owner = await built.owner()
     damaged, other = built.new_id(), built.new_id()
     await owner.call("POST", PREFIX + damaged, job())
@@ -106,7 +106,7 @@
 
 
 @with_cluster()
-async def test_a_cancelled_job_is_stopped_and_starts_nothing_more(built: Cluster) -> None:
+async def test_cancelled_job_is_stopped_and_starts_no_more_tasks(built: Cluster) -> None:
     job_id, member = built.new_id(), built.members[0]
     body = job(step(2), step(1, after=[0]), spec={"seconds": 5})
     await member.call("POST", PREFIX + job_id, body)
@@ -119,7 +119,7 @@
 
 
 @with_cluster()
-async def test_a_job_whose_task_fails_too_often_has_failed(built: Cluster) -> None:
+async def test_job_fails_after_too_many_failures_of_a_task(built: Cluster) -> None:
     job_id, member = built.new_id(), built.members[0]
     body = job(spec={"seconds": 0.05, "fails": True})
     await member.call("POST", PREFIX + job_id, body)
@@ -129,7 +129,7 @@
 
 
 @with_cluster()
-async def test_a_task_that_lasts_is_started_again_whenever_it_ends(built: Cluster) -> None:
+async def test_long_running_task_is_restarted_whenever_it_ends(built: Cluster) -> None:
     job_id, member = built.new_id(), built.members[0]
     await member.call(
         "POST", PREFIX + job_id, job(step(longRunning=True), spec={"seconds": 0.1, "fails": True})
@@ -155,8 +155,8 @@
 
 
 @with_cluster(executors=1)
-async def test_capacity_and_the_maximum_of_an_organisation_hold(built: Cluster) -> None:
-    """An executor that starts whatever it is told is never given more than it has room for."""
+async def test_capacity_and_the_maximum_of_an_organisation_are_respected(built: Cluster) -> None:
+    """An executor that accepts every start never gets more tasks than it has capacity for."""
     member = built.members[0]
     tenants = [{"name": "north", "apiKeys": [KEY], "weight": 1, "maximum": {"cpu": 3_000}}]
     built.store.put_document("op/config", config(2, tenants=tenants))
@@ -164,15 +164,17 @@
     ids = [built.new_id() for _ in range(4)]
     for job_id in ids:
         await member.call("POST", PREFIX + job_id, job(step(4)))
-    most = 0
+    max_running = 0
     with anyio.fail_after(8):
         while any([await member.state(job_id) != "completed" for job_id in ids]):
-            most = max(most, sum(len(executor.running) for executor in built.executors))
-    assert 1 <= most <= 3
+            max_running = max(
+                max_running, sum(len(executor.running) for executor in built.executors)
+            )
+    assert 1 <= max_running <= 3
 
 
 @with_cluster()
-async def test_a_queue_with_advice_uses_only_the_executors_named(built: Cluster) -> None:
+async def test_queue_with_advice_uses_only_the_named_executors(built: Cluster) -> None:
     built.machines.allowed = {"i-1"}
     job_id, member = built.new_id(), built.members[0]
     await member.call("POST", HINTED_PREFIX + job_id, job(step(3)))
@@ -181,8 +183,8 @@
 
 
 @with_cluster(executors=3)
-async def test_a_wave_takes_each_machine_once_and_moves_what_lasts(built: Cluster) -> None:
-    """Upkeep ends all that runs on a machine; callers of a lasting task see one away at most."""
+async def test_wave_takes_each_machine_once_and_moves_long_running_tasks(built: Cluster) -> None:
+    """Upkeep ends all runs on a machine; at most one long-running task may be unavailable."""
     job_id, member = built.new_id(), built.members[0]
 
     async def upkeep(machine: object) -> None:
@@ -194,8 +196,8 @@
             built.register(name)
 
     built.machines.on_upkeep = upkeep
-    lasting = step(2, longRunning=True, maxUnavailable=1, maxPerServer=1)
-    await member.call("POST", PREFIX + job_id, job(lasting, spec={"seconds": 60}))
+    long_running = step(2, longRunning=True, maxUnavailable=1, maxPerServer=1)
+    await member.call("POST", PREFIX + job_id, job(long_running, spec={"seconds": 60}))
     await until(lambda: sum(len(executor.running) for executor in built.executors) == 2)
     wave = {"wave": 1, "machines": list(built.machines.machines), "durationS": 20, "maximum": 1}
     built.store.put_document("op/wave/1", wave)
--- a/vanillawell/tests/shard_claim_tests.py
+++ b/vanillawell/tests/shard_claim_tests.py
@@ -1,4 +1,4 @@
-"""Prove that an entry knows whether it has taken a shard, whatever becomes of the answers."""
+"""Test that an entry determines whether it has taken a shard although answers are lost or late."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 from vanillawell import clock
 from vanillawell.coordination.candidate import Candidate
-from vanillawell.coordination.shard_claim import CLAIM_BOUND, PATIENCE, TRIES
-from vanillawell.coordination.term import LEASE, Term
+from vanillawell.coordination.shard_claim import CLAIM_TIMEOUT, MAX_TRIES, RETRY_DELAY
+from vanillawell.coordination.term import OWNERSHIP_LEASE, Term
 from vanillawell.exceptions import StoreOutcomeUnknownError
 from vanillawell.platform.http import HttpClient
 from vanillawell.platform.store import PlatformStore
@@ -40,24 +40,24 @@
     anyio.run(run)
 
 
-async def _win(store: FollowedStore, name: str = "entry-0") -> Term:
-    """Follow the shard as an entry does until it is won."""
+async def _acquire(store: FollowedStore, name: str = "entry-0") -> Term:
+    """Acquire the shard as an entry does."""
     candidate = Candidate(store, KEYS, "all", name)
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(candidate.follow)
-        term = await candidate.win()
+        tasks.start_soon(candidate.watch_holder)
+        term = await candidate.acquire()
         tasks.cancel_scope.cancel()
     return term
 
 
-def test_a_claim_that_got_no_answer_is_known_long_before_its_lease_may_end() -> None:
-    """The store gives the shard and its answer is lost; all jobs wait meanwhile."""
+def test_claim_with_a_lost_answer_is_confirmed_before_its_lease_expires() -> None:
+    """The claim takes effect and its answer is lost. All jobs wait until the entry knows this."""
 
     async def check(stand_in: StandInStore, store: PlatformStore) -> None:
         stand_in.faults.lose_answers = 1
         began = clock.read()
-        term = await _win(store)
-        assert clock.read() < began + PATIENCE + 0.5
+        term = await _acquire(store)
+        assert clock.read() < began + RETRY_DELAY + 0.5
         assert term.is_held(clock.read() + 0.5)
         await term.write([Put("value/0", b"x")])
         assert "value/0" in stand_in.items
@@ -65,16 +65,16 @@
     _with_store(check)
 
 
-def test_a_claim_that_is_carried_out_late_takes_nothing_a_second_time() -> None:
-    """Its second try has taken the shard by then, and the owner has written since."""
+def test_delayed_claim_has_no_effect_after_its_retry() -> None:
+    """When the first try arrives, its retry has taken the shard and the owner has written since."""
 
     async def check(stand_in: StandInStore, store: PlatformStore) -> None:
         stand_in.faults.lose_late = 1
-        term = await _win(store)
+        term = await _acquire(store)
         await term.write([Put("value/0", b"x")])
         written = stand_in.items[KEYS.term("all")].revision
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(term.keep)
+            tasks.start_soon(term.renew_until_lost)
             await anyio.sleep(1.5)
             tasks.cancel_scope.cancel()
         assert stand_in.items[KEYS.term("all")].revision == written
@@ -83,37 +83,37 @@
     _with_store(check)
 
 
-def test_the_lease_of_a_claim_whose_outcome_stays_unknown_is_ended() -> None:
-    """The store takes every try in and answers none. Kept up, the lease would hold the shard for an
-    entry that does not know of it."""
+def test_lease_of_a_claim_with_unknown_outcome_is_revoked() -> None:
+    """The store carries out every try and answers none. If the lease were renewed, the shard would
+    stay with an entry that does not know that it owns it."""
 
     async def check(stand_in: StandInStore, store: PlatformStore) -> None:
-        stand_in.faults.lose_late = TRIES
+        stand_in.faults.lose_late = MAX_TRIES
         candidate = Candidate(store, KEYS, "all", "entry-0")
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(candidate.follow)
+            tasks.start_soon(candidate.watch_holder)
             with pytest.raises(StoreOutcomeUnknownError):
-                await candidate._take()
+                await candidate._try_to_take()
             assert HOLDER not in stand_in.items
-            await anyio.sleep(LEASE + 0.1)
+            await anyio.sleep(OWNERSHIP_LEASE + 0.1)
             assert HOLDER not in stand_in.items
             tasks.cancel_scope.cancel()
 
     _with_store(check)
 
 
-def test_a_store_that_answers_slowly_gives_a_shard_that_holds() -> None:
-    """Each answer takes 0.8 s. The lease is renewed while the entry waits to hear that it has the
-    shard, or it would be lost as it is known."""
+def test_shard_taken_on_a_slow_store_is_not_lost_again() -> None:
+    """Each answer takes 0.8 s. The lease has to be renewed while the entry waits for the answer to
+    its claim; otherwise it would expire by the time the claim is confirmed."""
 
     async def check(stand_in: StandInStore, store: PlatformStore) -> None:
         stand_in.faults.delay = 0.8
         with anyio.fail_after(8):
-            term = await _win(store)
+            term = await _acquire(store)
         assert term.is_held(clock.read())
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(term.keep)
-            await anyio.sleep(2 * LEASE)
+            tasks.start_soon(term.renew_until_lost)
+            await anyio.sleep(2 * OWNERSHIP_LEASE)
             assert term.is_held(clock.read())
             tasks.cancel_scope.cancel()
         assert term.token == 1
@@ -124,8 +124,10 @@
 
 @dataclass
 class HeldClaims:
-    """Stand before a store: the first claim's tries get no answer, and one of them is carried out
-    just as the next claim begins. Ends of leases are lost, and a late renewal comes instead."""
+    """Store wrapper in which the first claim gets no answer and takes effect as the next one
+    begins.
+
+    Revocations of leases are lost, and a late renewal is carried out instead."""
 
     inner: PlatformStore
     held: list[Transaction] = field(default_factory=list)
@@ -134,11 +136,11 @@
         return getattr(self.inner, name)
 
     async def transact(self, transaction: Transaction) -> TransactionResult:
-        if len(self.held) < TRIES:
+        if len(self.held) < MAX_TRIES:
             self.held.append(transaction)
-            await anyio.sleep(CLAIM_BOUND + 1.0)
+            await anyio.sleep(CLAIM_TIMEOUT + 1.0)
             raise StoreOutcomeUnknownError("lost by the test")
-        if len(self.held) == TRIES:
+        if len(self.held) == MAX_TRIES:
             await self.inner.transact(self.held[0])
             self.held.append(transaction)
         return await self.inner.transact(transaction)
@@ -148,38 +150,40 @@
         raise StoreOutcomeUnknownError("lost by the test")
 
 
-def test_an_earlier_claim_that_takes_effect_late_does_not_pass_for_the_present_one() -> None:
-    """It holds the shard under a lease that nobody renews. Taken for the present claim, its entry
-    would count on a lease of its own while another entry takes the shard."""
+def test_earlier_claim_that_takes_effect_late_is_not_mistaken_for_the_current_one() -> None:
+    """The earlier claim holds the shard under a lease that is no longer renewed. If it counted as
+    the current claim, the entry would rely on the wrong lease while another entry takes the
+    shard."""
 
     async def check(stand_in: StandInStore, store: PlatformStore) -> None:
         held = HeldClaims(store)
-        won: list[Term] = []
+        acquired: list[Term] = []
 
-        async def win() -> None:
-            won.append(await _win(cast("FollowedStore", held)))
+        async def acquire() -> None:
+            acquired.append(await _acquire(cast("FollowedStore", held)))
 
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(win)
-            await until(lambda: HOLDER in stand_in.items, CLAIM_BOUND + 3)
-            former = stand_in.items[HOLDER].lease
-            await until(lambda: bool(won), LEASE + 3)
-            assert won[0].token == 2
-            assert stand_in.items[HOLDER].lease == won[0]._lease.number != former
+            tasks.start_soon(acquire)
+            await until(lambda: HOLDER in stand_in.items, CLAIM_TIMEOUT + 3)
+            earlier = stand_in.items[HOLDER].lease
+            await until(lambda: bool(acquired), OWNERSHIP_LEASE + 3)
+            assert acquired[0].token == 2
+            assert stand_in.items[HOLDER].lease == acquired[0]._lease.number != earlier
             tasks.cancel_scope.cancel()
 
     _with_store(check)
 
 
-def test_an_entry_that_is_stopped_while_its_claim_gets_no_answer_ends_the_lease() -> None:
-    """Its claim was carried out. Left to its lease, the shard would have no owner for as long."""
+def test_entry_stopped_during_an_unanswered_claim_revokes_the_lease() -> None:
+    """The claim was carried out. Without the revocation the shard would have no owner until the
+    lease expires."""
 
     async def check(stand_in: StandInStore, store: PlatformStore) -> None:
-        stand_in.faults.lose_answers = TRIES
+        stand_in.faults.lose_answers = MAX_TRIES
         candidate = Candidate(store, KEYS, "all", "entry-0")
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(candidate.follow)
-            tasks.start_soon(candidate.win)
+            tasks.start_soon(candidate.watch_holder)
+            tasks.start_soon(candidate.acquire)
             await until(lambda: HOLDER in stand_in.items)
             tasks.cancel_scope.cancel()
         assert HOLDER not in stand_in.items
@@ -188,11 +192,11 @@
 
 
 @with_cluster(members=2)
-async def test_an_entry_that_is_stopped_as_it_takes_the_shard_ends_its_lease(
+async def test_entry_stopped_while_it_takes_the_shard_revokes_its_lease(
     built: Cluster,
 ) -> None:
-    """It hears that it has the shard after it was asked to stop. Nobody starts a task until the
-    shard is given up."""
+    """The claim is confirmed after the entry was requested to stop. No task starts until the shard
+    is released."""
     owner = await built.owner()
     taker = next(member for member in built.members if member is not owner)
     taker.store.answer_time = 0.1
@@ -200,16 +204,16 @@
     await built.kill(owner)
     await until(lambda: HOLDER in built.store.items)
     await taker.node.hand_over()
-    await until(lambda: HOLDER not in built.store.items, LEASE / 2)
+    await until(lambda: HOLDER not in built.store.items, OWNERSHIP_LEASE / 2)
     assert not taker.owns
 
 
 @with_cluster(members=2)
-async def test_a_shard_that_a_stopping_entry_can_not_pass_on_is_left_to_its_lease(
+async def test_stopping_entry_that_cannot_hand_over_lets_its_lease_expire(
     built: Cluster,
 ) -> None:
-    """The store refuses all it asks from then on. Kept up, the lease would hold the shard until the
-    process has ended."""
+    """The store refuses all further calls of the entry. If the lease were still renewed, the shard
+    would have no active owner until the process has ended."""
     owner = await built.owner()
     taker = next(member for member in built.members if member is not owner)
     taker.store.answer_time = 0.1
@@ -218,5 +222,5 @@
     await until(lambda: HOLDER in built.store.items)
     await taker.node.hand_over()
     taker.store.cut = True
-    await until(lambda: HOLDER not in built.store.items, LEASE + 0.3)
+    await until(lambda: HOLDER not in built.store.items, OWNERSHIP_LEASE + 0.3)
     assert taker.node.term is None or not taker.node.term.is_held(clock.read())
--- a/vanillawell/tests/short_terms_tests.py
+++ b/vanillawell/tests/short_terms_tests.py
@@ -1,4 +1,4 @@
-"""Prove that what is known of leases outlives owners whose terms end as they begin."""
+"""Test that lease bounds are kept across owners whose terms end as soon as they begin."""
 
 from __future__ import annotations
 
@@ -14,19 +14,20 @@
     stop,
 )
 
-UNNOTICED = 1.0
-"""Seconds for which an owner has not noticed yet that an executor of lasting tasks is silent."""
+BEFORE_DETECTION = 1.0
+"""Seconds after which an owner has not yet detected that an executor of long-running tasks is
+unresponsive."""
 
 
 @with_cluster(members=3)
-async def test_an_entry_that_is_stopped_as_it_takes_the_shard_passes_on_what_it_found(
+async def test_entry_stopped_while_it_takes_the_shard_passes_the_bounds_on(
     built: Cluster,
 ) -> None:
-    """The owner is stopped, and its successor, too, before the answer has come that it has the
-    shard. Nobody ends its lease, and the bounds that the owner left for its successor are gone."""
+    """The owner is stopped, and the next owner is stopped as well before its claim is confirmed.
+    The bounds that the first owner stored for the next one only must not be lost."""
     task = await silence_an_executor(built)
     with anyio.fail_after(LONGEST_ABSENCE):
-        await anyio.sleep(UNNOTICED)
+        await anyio.sleep(BEFORE_DETECTION)
         owner = await built.owner()
         taker, other = [member for member in built.members if member is not owner]
         other.store.cut, taker.store.answer_time = True, 0.1
@@ -39,14 +40,14 @@
 
 
 @with_cluster(members=3)
-async def test_a_successor_that_is_killed_as_it_begins_does_not_take_the_bounds_with_it(
+async def test_bounds_are_kept_when_a_new_owner_is_killed_early(
     built: Cluster,
 ) -> None:
-    """The owner is stopped as planned and leaves all bounds, which hold for its successor only.
-    That is killed a moment later, before it has stored of whom it heard nothing."""
+    """The owner is stopped as planned and stores all bounds, which hold for the next owner only.
+    That one is killed before it has stored which executors did not answer it."""
     task = await silence_an_executor(built)
     with anyio.fail_after(LONGEST_ABSENCE):
-        await anyio.sleep(UNNOTICED)
+        await anyio.sleep(BEFORE_DETECTION)
         await stop(built, await built.owner())
         successor = await built.owner()
         await anyio.sleep(0.3)
--- a/vanillawell/tests/stopping_owner_tests.py
+++ b/vanillawell/tests/stopping_owner_tests.py
@@ -1,4 +1,4 @@
-"""Prove that a shard goes on while its owner can't hand it over at a planned stop."""
+"""Test that a shard stays operational while its owner cannot hand it over at a planned stop."""
 
 from __future__ import annotations
 
@@ -33,17 +33,18 @@
 STOP = 4.1
 """Seconds between the request to stop and the end of the process."""
 
-UNATTENDED = 3.0
-"""Seconds without any start, where there is room, after which a job counts as lost."""
+MAX_START_DELAY = 3.0
+"""Seconds within which a job has to start while there is free capacity."""
 
-TAKEN_AT_ONCE = 0.8
-"""Seconds in which an entry takes a shard whose lease was ended; well below that lease."""
+TAKE_OVER_TIME = 0.8
+"""Seconds within which an entry takes a shard whose lease was revoked; well below that lease."""
 
 
-class LastWordsLost:
-    """Stand between an entry and the store: its last words are never confirmed, all else is.
+class FinalDocumentsUnconfirmed:
+    """Store wrapper that never confirms the final lease documents of an entry.
 
-    They are carried out and their answers get lost after `delay` seconds, or nothing is done.
+    Their writes are carried out and the answers are lost after `delay` seconds, or they are
+    refused.
     """
 
     def __init__(self, member: Member, carried_out: bool, delay: float = 0.0) -> None:
@@ -51,14 +52,14 @@
         self._carried_out = carried_out
         self._delay = delay
         self.tries = 0
-        """Last words so far."""
+        """Number of writes of a final lease document so far."""
         member.store.inner = cast("Any", self)
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self._inner, name)
 
     async def transact(self, transaction: Transaction) -> TransactionResult:
-        if not any(_is_last_word(put) for put in transaction.puts):
+        if not any(_is_final_document(put) for put in transaction.puts):
             return await self._inner.transact(transaction)
         self.tries += 1
         if not self._carried_out:
@@ -68,13 +69,13 @@
         raise StoreOutcomeUnknownError("lost by the test")
 
 
-def _is_last_word(put: Put) -> bool:
-    """Tell whether an owner hands over what is at work with this write."""
+def _is_final_document(put: Put) -> bool:
+    """Return whether this write is the final lease document of an owner with running tasks."""
     return "leases/" in put.key and bool(LeaseBounds.from_bytes(put.value).handed_over)
 
 
-async def lasting_task(built: Cluster, owner: Member) -> str:
-    """Start a lasting task, so that there is something to hand over; returns its name."""
+async def start_long_running_task(built: Cluster, owner: Member) -> str:
+    """Start a long-running task, so that there are leases to hand over; return its name."""
     job_id = built.new_id()
     await owner.call("POST", PREFIX + job_id, job(step(longRunning=True), spec={"seconds": 60}))
     task = f"{job_id}.0.0.0"
@@ -83,17 +84,17 @@
 
 
 async def wait_for_start(built: Cluster, member: Member, waits: list[float]) -> None:
-    """Hand a job in and add to `waits` how many seconds it takes until it starts."""
+    """Submit a job, wait until it starts, and append the seconds that this took to `waits`."""
     job_id, began = built.new_id(), clock.read()
     assert (await member.call("POST", PREFIX + job_id, job())).status == 200
-    await until(lambda: f"{job_id}.0.0.0" in built.audit.started, 2 * UNATTENDED)
+    await until(lambda: f"{job_id}.0.0.0" in built.audit.started, 2 * MAX_START_DELAY)
     waits.append(clock.read() - began)
 
 
 @with_cluster(members=2)
-async def test_jobs_start_while_an_owner_that_stops_could_not_hand_over(built: Cluster) -> None:
-    """The answer to the last word of an owner that stops is lost, so it keeps the shard until its
-    process ends. Deciding nothing, it would let all jobs wait for that, and then for its lease."""
+async def test_jobs_start_while_a_stopping_owner_cannot_hand_over(built: Cluster) -> None:
+    """The answer to the final lease document of a stopping owner is lost, so it keeps the shard. If
+    it ran no scheduling cycles, all jobs would wait for the end of its process and its lease."""
     owner, job_id = await built.owner(), built.new_id()
     other = next(member for member in built.members if member is not owner)
     built.store.faults.only = lambda body: "leases/all" in body
@@ -103,7 +104,7 @@
         await owner.node.hand_over()
         assert built.store.faults.lose_answers == 0
         assert (await other.call("POST", PREFIX + job_id, job())).status == 200
-        await until(lambda: f"{job_id}.0.0.0" in built.audit.started, UNATTENDED)
+        await until(lambda: f"{job_id}.0.0.0" in built.audit.started, MAX_START_DELAY)
 
 
 async def _end_process(built: Cluster, owner: Member) -> None:
@@ -112,17 +113,17 @@
 
 
 @with_cluster(members=2)
-async def test_an_owner_that_stops_hands_over_once_its_last_word_is_stored(built: Cluster) -> None:
-    """The answer to its first last word is lost. If it didn't try again, all jobs would wait for
-    the lease of an owner whose process has ended."""
+async def test_stopping_owner_retries_until_its_final_document_is_stored(built: Cluster) -> None:
+    """The answer to the first write of the final lease document is lost. Without a retry all jobs
+    would wait until the lease of the terminated owner expires."""
     owner = await built.owner()
     other = next(member for member in built.members if member is not owner)
-    task = await lasting_task(built, owner)
+    task = await start_long_running_task(built, owner)
     built.store.faults.only = lambda body: "leases/all" in body
     built.store.faults.lose_answers = 1
     with anyio.fail_after(STOP):
         await owner.node.hand_over()
-        await until(lambda: other.owns, TAKEN_AT_ONCE)
+        await until(lambda: other.owns, TAKE_OVER_TIME)
     await built.kill(owner)
     await anyio.sleep(6.0)
     assert built.audit.started[task] == 1
@@ -130,11 +131,11 @@
 
 
 @with_cluster(members=2)
-async def test_an_owner_that_stops_while_the_store_is_away_hands_over_on_its_return(
+async def test_owner_stopped_while_the_store_is_unreachable_hands_over_on_recovery(
     built: Cluster,
 ) -> None:
-    """The store is away when the owner is asked to stop, and comes back two seconds later. Another
-    entry should own the shard then, while the process of the former owner has not ended yet."""
+    """The store is unreachable when the owner is requested to stop, and recovers two seconds later.
+    Another entry has to own the shard before the process of the previous owner has ended."""
     owner = await built.owner()
     other = next(member for member in built.members if member is not owner)
     built.store.faults.refuse = True
@@ -150,19 +151,19 @@
     [(True, 0.0), (True, 1.0), (False, 0.0)],
     ids=["answers lost", "answers lost late", "refused"],
 )
-def test_jobs_run_once_whatever_becomes_of_an_owners_last_words(
+def test_jobs_run_once_while_no_final_document_is_confirmed(
     carried_out: bool, delay: float
 ) -> None:
-    """No last word of an owner that stops is ever confirmed, so that it alone decides until its
-    process ends, and then nobody before its lease is over. Jobs that come all the while have to
-    start, each once, and what lasts has to go on."""
+    """No final lease document of a stopping owner is ever confirmed, so it remains the owner until
+    its process ends. Jobs submitted meanwhile have to start exactly once, and long-running tasks
+    have to keep running."""
 
     @with_cluster(members=2)
     async def run(built: Cluster) -> None:
         owner = await built.owner()
         other = next(member for member in built.members if member is not owner)
-        task = await lasting_task(built, owner)
-        lost = LastWordsLost(owner, carried_out, delay)
+        task = await start_long_running_task(built, owner)
+        lost = FinalDocumentsUnconfirmed(owner, carried_out, delay)
         waits: list[float] = []
         began = clock.read()
         async with anyio.create_task_group() as tasks:
@@ -172,9 +173,9 @@
                 tasks.start_soon(wait_for_start, built, other, waits)
                 await anyio.sleep(0.2)
             await anyio.sleep(STOP - (clock.read() - began))
-            await until(lambda: other.owns, TAKEN_AT_ONCE)
+            await until(lambda: other.owns, TAKE_OVER_TIME)
         assert lost.tries > 1
-        assert max(waits) < UNATTENDED
+        assert max(waits) < MAX_START_DELAY
         await anyio.sleep(6.0)
         assert set(built.audit.started.values()) == {1}
         assert any(task in executor.running for executor in built.executors)
@@ -182,13 +183,13 @@
     run()
 
 
-class LeaseEndRefused:
-    """Stand between an entry and the store: its first try to end a lease is refused."""
+class FirstRevocationRefused:
+    """Store wrapper that refuses the first revocation of a lease."""
 
     def __init__(self, member: Member) -> None:
         self._inner = member.store.inner
         self.tries = 0
-        """Tries so far."""
+        """Number of revocations so far."""
         member.store.inner = cast("Any", self)
 
     def __getattr__(self, name: str) -> Any:
@@ -202,26 +203,26 @@
 
 
 @with_cluster(members=2)
-async def test_an_owner_that_has_said_its_last_word_tries_again_to_end_its_lease(
+async def test_owner_with_a_stored_final_document_retries_the_revocation_of_its_lease(
     built: Cluster,
 ) -> None:
-    """The store takes the last word and refuses to end the lease. The owner decides nothing any
-    more, and nobody can take the shard."""
+    """The store accepts the final lease document and refuses to revoke the lease. The owner runs no
+    more scheduling cycles, and no other entry can take the shard until the lease is revoked."""
     owner = await built.owner()
     other = next(member for member in built.members if member is not owner)
-    store = LeaseEndRefused(owner)
+    store = FirstRevocationRefused(owner)
     await owner.node.hand_over()
     assert store.tries == 2
-    await until(lambda: other.owns, TAKEN_AT_ONCE)
+    await until(lambda: other.owns, TAKE_OVER_TIME)
     job_id = built.new_id()
     await other.call("POST", PREFIX + job_id, job())
     await until_state(other, job_id, "completed")
 
 
-def test_a_try_to_write_ends_when_its_time_is_over() -> None:
-    """A process is about to end while the store's answer to its last word is lost. Waited for
-    without a bound, the end would come late; taken for a failure, what is written next would be
-    believed to be stored when it isn't."""
+def test_write_without_retry_ends_at_its_deadline() -> None:
+    """A process is about to end while the answer to its final lease document is lost. Without a
+    deadline the process would end late. The outcome has to count as unknown, or the next write
+    could be reported as stored although it is not."""
 
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
@@ -231,7 +232,7 @@
             stand_in.faults.lose_answers = 1
             began = clock.read()
             with pytest.raises(StoreOutcomeUnknownError):
-                await term.write_if_reachable(lambda: [Put("value/last", b"x")], began + 0.3)
+                await term.write_without_retry(lambda: [Put("value/last", b"x")], began + 0.3)
             assert clock.read() - began < 1.0
             await term.write([Put("value/next", b"x")])
             assert "value/next" in stand_in.items
@@ -240,8 +241,9 @@
     anyio.run(run)
 
 
-def test_an_owner_that_has_said_its_last_word_does_not_hold_its_shard() -> None:
-    """Another entry may own it from then on; orders for machines must not go out any more."""
+def test_closed_term_is_not_held() -> None:
+    """Another entry may own the shard once the term is closed, so no more machine orders may be
+    sent."""
 
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
--- a/vanillawell/tests/store_health_tests.py
+++ b/vanillawell/tests/store_health_tests.py
@@ -1,8 +1,8 @@
-"""Prove that callers are refused at once, and truly, while the store is known to be silent.
+"""Test that callers are refused early and correctly while the store is known to be unresponsive.
 
-The pattern: the store is down for some seconds in a peak, and a caller asks again within three
-seconds if it is told that nothing was run. One whose write may have been carried out can't be told
-so.
+The failure: the store is down for some seconds during a load peak. A caller that is told that its
+job has not run retries within three seconds, but a caller whose write may have been carried out
+cannot be told so.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 """Seconds within which a caller is told that the store does not answer."""
 
 WATCH_LOST = 2.5
-"""Seconds after which an entry's next waiting call to a silent store has failed."""
+"""Seconds after which an entry's pending watch call to an unresponsive store has failed."""
 
 
 @with_cluster(members=1)
-async def test_after_an_unanswered_write_callers_are_told_to_come_back(built: Cluster) -> None:
-    """The first caller's write goes unanswered. All later ones would wait as long for an answer
-    that leaves them in doubt; they have to hear soon that nothing was run, and nothing may be."""
+async def test_callers_are_told_to_retry_after_an_unanswered_write(built: Cluster) -> None:
+    """The first caller's write is not answered. Later callers have to be told early that their jobs
+    have not run, instead of waiting for an unknown outcome, and the jobs must not run."""
     member, jobs = await built.owner(), [built.new_id() for _ in range(4)]
     built.store.faults.down = True
     first = await member.call("POST", JOBS + jobs[0], job())
@@ -43,11 +43,11 @@
 
 
 @with_cluster(members=1)
-async def test_an_entry_that_hears_nothing_of_the_store_writes_no_job_into_it(
+async def test_no_job_is_written_after_an_unanswered_watch_of_the_store(
     built: Cluster,
 ) -> None:
-    """The store is away, and the entry's own waiting call has got no answer. Written all the same,
-    the first job of each entry would leave its caller in doubt, and unable to try again."""
+    """The store is down, and the entry's own watch call was not answered. If the first job of each
+    entry were written all the same, its caller would get an unknown outcome and could not retry."""
     member, job_id = await built.owner(), built.new_id()
     built.store.faults.down = True
     await anyio.sleep(WATCH_LOST)
@@ -57,20 +57,20 @@
     assert clock.read() - began < AT_ONCE
 
 
-def test_an_answer_that_was_lost_among_others_is_no_silence() -> None:
-    """A write gets no answer within its bound, while a waiting call was answered meanwhile."""
-    doubt = StoreHealth()
-    doubt.note_answer(now=1.0)
-    doubt.note_silence(sent=0.5, now=2.0)
-    assert doubt.is_doubtful() and not doubt.is_silent(2.0)
-    doubt.note_silence(sent=1.5, now=3.0)
-    assert doubt.is_silent(3.0)
+def test_single_lost_answer_does_not_count_as_an_unresponsive_store() -> None:
+    """A write gets no answer within its timeout, while another call was answered meanwhile."""
+    health = StoreHealth()
+    health.record_answer(now=1.0)
+    health.record_timeout(sent=0.5, now=2.0)
+    assert health.needs_probe() and not health.is_unresponsive(2.0)
+    health.record_timeout(sent=1.5, now=3.0)
+    assert health.is_unresponsive(3.0)
 
 
 @with_cluster(members=1)
-async def test_a_single_lost_answer_shuts_nobody_out(built: Cluster) -> None:
-    """One write was carried out and its answer lost. The store answers all others; the next
-    caller's job is taken."""
+async def test_callers_are_accepted_after_a_single_lost_answer(built: Cluster) -> None:
+    """One write was carried out and its answer lost. The store answers all other calls, so the next
+    caller's job has to be accepted."""
     member, jobs = await built.owner(), [built.new_id() for _ in range(2)]
     built.store.faults.only = lambda body: "vanillawell/order/" in body
     built.store.faults.lose_answers = 1
--- a/vanillawell/tests/successive_owners_tests.py
+++ b/vanillawell/tests/successive_owners_tests.py
@@ -1,11 +1,11 @@
-"""Prove that the wait for a silent executor does not begin anew with each owner of its shard.
-
-The users saw lasting tasks stay away for 11 to 17 seconds, with room for them, while all entries
-were restarted one after the other. Their executors had left before. How long an executor that does
-not answer may still hold leases was known to its owner alone; each new owner reckoned with the
-longest time from its own start, and might be replaced before that was over. The logs proved it:
-each of these tasks ran again 9.1 seconds after the last change of owner, whenever its executor had
-left, once after a single change.
+"""Test that the wait for an unresponsive executor does not start again with each owner of the
+shard.
+
+The failure: during a rolling restart, long-running tasks whose executors had left were away for 11
+to 17 seconds although there was free capacity. Only the owner knew how long an unresponsive
+executor might still hold leases; each new owner assumed the longest lease from its own start, and
+was replaced before that had expired. The tasks ran again 9.1 seconds after the last change of
+owner, once after a single change.
 """
 
 from __future__ import annotations
@@ -23,18 +23,19 @@
 )
 
 LONGEST_ABSENCE = 9.0
-"""Seconds after its last run in which a lasting task has to run again, as published."""
+"""Seconds after the end of its last run within which a long-running task has to run again, as
+published."""
 
 
-NOTICED = 2.6
-"""Seconds within which an owner notices that an executor of lasting tasks answers nothing."""
+DETECTION_TIME = 2.6
+"""Seconds within which an owner detects that an executor of long-running tasks is unresponsive."""
 
 
 async def silence_an_executor(built: Cluster) -> str:
-    """Start a lasting task and let its executor fall silent for good; returns the task's name."""
+    """Start a long-running task, make its executor unresponsive for good and return the task."""
     owner, job_id = await built.owner(), built.new_id()
-    lasting = job(step(longRunning=True), spec={"seconds": 60})
-    await owner.call("POST", PREFIX + job_id, lasting)
+    long_running = job(step(longRunning=True), spec={"seconds": 60})
+    await owner.call("POST", PREFIX + job_id, long_running)
     task = f"{job_id}.0.0.0"
     await until(lambda: task in built.audit.started)
     host = next(host for host in built.hosts.values() if task in host.executor.running)
@@ -44,24 +45,24 @@
 
 
 async def stop(built: Cluster, member: Member) -> None:
-    """Stop an entry as planned, and start another one in its place."""
+    """Stop an entry as planned and start another one."""
     await member.node.hand_over()
     await built.kill(member)
     built.add_member(f"{len(built.members)}-after")
 
 
 async def kill(built: Cluster, member: Member) -> None:
-    """End an entry without notice, and start another one in its place."""
+    """Kill an entry without notice and start another one."""
     await built.kill(member)
     built.add_member(f"{len(built.members)}-after")
 
 
 @with_cluster(members=3)
-async def test_a_rolling_restart_does_not_prolong_the_wait_for_a_silent_executor(
+async def test_rolling_restart_does_not_extend_the_wait_for_an_unresponsive_executor(
     built: Cluster,
 ) -> None:
-    """The owner is stopped every two seconds after an executor fell silent. Its lasting task runs
-    again as soon as its lease is surely over."""
+    """The owner is stopped every two seconds after an executor became unresponsive. Its
+    long-running task has to run again as soon as its lease has certainly expired."""
     task = await silence_an_executor(built)
     with anyio.fail_after(LONGEST_ABSENCE):
         for _ in range(3):
@@ -71,11 +72,11 @@
 
 
 @with_cluster(members=2)
-async def test_one_planned_stop_does_not_prolong_the_wait_for_a_silent_executor(
+async def test_planned_stop_does_not_extend_the_wait_for_an_unresponsive_executor(
     built: Cluster,
 ) -> None:
-    """The owner is stopped once, four seconds after an executor fell silent. Its successor knows
-    that the lease is nearly over."""
+    """The owner is stopped once, four seconds after an executor became unresponsive. The next owner
+    has to know that the lease has nearly expired."""
     task = await silence_an_executor(built)
     with anyio.fail_after(LONGEST_ABSENCE):
         await anyio.sleep(4.0)
@@ -84,14 +85,14 @@
 
 
 @with_cluster(members=3)
-async def test_owners_killed_in_series_do_not_prolong_the_wait_for_a_silent_executor(
+async def test_killed_owners_do_not_extend_the_wait_for_an_unresponsive_executor(
     built: Cluster,
 ) -> None:
-    """Owners are killed one after the other after an executor fell silent. What the first one knew
-    of the executor's lease is known to all of them."""
+    """Several owners are killed in succession after an executor became unresponsive. All of them
+    have to know what the first one knew of the executor's lease."""
     task = await silence_an_executor(built)
     with anyio.fail_after(LONGEST_ABSENCE):
-        await anyio.sleep(NOTICED)
+        await anyio.sleep(DETECTION_TIME)
         for _ in range(2):
             await kill(built, await built.owner())
             await anyio.sleep(0.2)
@@ -99,9 +100,9 @@
 
 
 @with_cluster(members=3)
-async def test_work_that_runs_outlives_owners_that_are_replaced_in_series(built: Cluster) -> None:
-    """All entries are stopped or killed in turn while an executor works soundly. Whoever owns its
-    shard goes on renewing its lease, and its task is never started again."""
+async def test_running_task_survives_successive_changes_of_owner(built: Cluster) -> None:
+    """All entries are stopped or killed in turn while an executor is healthy. Each owner has to
+    renew its lease, and its task must not be restarted."""
     owner, job_id = await built.owner(), built.new_id()
     await owner.call("POST", PREFIX + job_id, job(step(longRunning=True), spec={"seconds": 60}))
     task = f"{job_id}.0.0.0"
@@ -116,9 +117,10 @@
 
 
 @with_cluster(members=3, executors=3)
-async def test_a_machine_that_is_down_is_not_waited_for_by_a_new_owner(built: Cluster) -> None:
-    """A machine goes down and the owner is killed before it notices. The list of machines tells its
-    successor that nothing runs there, so the lasting task runs again within the promised time."""
+async def test_new_owner_does_not_wait_for_a_machine_that_is_down(built: Cluster) -> None:
+    """A machine goes down and the owner is killed before it detects this. The list of machines
+    shows the new owner that nothing runs there, so the long-running task runs again within the
+    published time."""
     task = await silence_an_executor(built)
     name = next(host.executor.name for host in built.hosts.values() if host.executor.faults.silent)
     machine = built.machines.machines[built.hosts[name].machine]
--- a/vanillawell/tests/term_tests.py
+++ b/vanillawell/tests/term_tests.py
@@ -1,4 +1,4 @@
-"""Prove that writes in the name of a term are never lost, and end with it."""
+"""Test that writes of a term are not lost, and that a term's end fences later writes."""
 
 from __future__ import annotations
 
@@ -30,15 +30,15 @@
 async def _take(store: PlatformStore, name: str) -> Term:
     candidate = Candidate(store, KEYS, "all", name)
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(candidate.follow)
-        term = await candidate.win()
+        tasks.start_soon(candidate.watch_holder)
+        term = await candidate.acquire()
         tasks.cancel_scope.cancel()
     return term
 
 
-def test_writes_at_the_same_moment_are_all_stored() -> None:
-    """Two parts of the owner write at once. Each must find its own value in the store afterwards;
-    operators would otherwise miss the state of a wave that was said to be written."""
+def test_concurrent_writes_of_a_term_are_all_stored() -> None:
+    """Several tasks of the owner write concurrently. No write may be reported as stored if it is
+    not; otherwise operators could miss the published state of a wave."""
 
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
@@ -54,32 +54,32 @@
     anyio.run(run)
 
 
-def test_a_former_owner_can_write_nothing() -> None:
-    """An owner is suspended until another one has taken over, and wakes up in the middle of a
-    write. Its write must change nothing."""
+def test_write_of_a_previous_owner_has_no_effect() -> None:
+    """An owner is suspended until another one has taken over, and resumes in the middle of a
+    write."""
 
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
             stand_in = StandInStore()
             tasks.start_soon(stand_in.tick)
             store = PlatformStore(HttpClient(), listen(tasks, stand_in))
-            former = await _take(store, "entry-0")
-            await former.give_up()
-            present = await _take(store, "entry-1")
-            assert present.token > former.token
+            previous = await _take(store, "entry-0")
+            await previous.release()
+            current = await _take(store, "entry-1")
+            assert current.token > previous.token
             with pytest.raises(TermLostError):
-                await former.write([Put("value/0", b"x")])
+                await previous.write([Put("value/0", b"x")])
             assert "value/0" not in stand_in.items
-            await present.write([Put("value/1", b"x")])
+            await current.write([Put("value/1", b"x")])
             assert "value/1" in stand_in.items
             tasks.cancel_scope.cancel()
 
     anyio.run(run)
 
 
-def test_a_new_owner_leaves_only_lately_ordered_machines_alone() -> None:
-    """An owner orders a machine and is replaced at once. Two holders must not take turns on that
-    machine, but all others may be needed in the very next second."""
+def test_new_owner_withholds_only_recently_ordered_machines() -> None:
+    """An owner orders a machine and is replaced at once. The new owner must not order that machine
+    as well, but may need all others in the next second."""
 
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
@@ -87,31 +87,33 @@
             tasks.start_soon(stand_in.tick)
             store = PlatformStore(HttpClient(), listen(tasks, stand_in))
             ports = Ports(store, *([None] * 4))  # type: ignore[arg-type]
-            former_term = await _take(store, "entry-0")
-            former = MachineOrders(former_term, ports, KEYS, "all", "entry-0", 0.5, FixedClocks())
-            assert await former.load()
-            await former.announce({"m-1": "pool-1"})
-            await former_term.give_up()
+            previous_term = await _take(store, "entry-0")
+            previous = MachineOrders(
+                previous_term, ports, KEYS, "all", "entry-0", 0.5, FixedClocks()
+            )
+            assert await previous.load()
+            await previous.announce({"m-1": "pool-1"})
+            await previous_term.release()
             term = await _take(store, "entry-1")
-            present = MachineOrders(term, ports, KEYS, "all", "entry-1", 0.5, FixedClocks())
+            current = MachineOrders(term, ports, KEYS, "all", "entry-1", 0.5, FixedClocks())
             now = clock.read()
-            assert not present.may_order("m-2", now)
-            assert await present.load()
-            assert present.may_order("m-2", now)
-            assert not present.may_order("m-1", now)
-            assert not former.may_order("m-2", now + 10)
+            assert not current.may_order("m-2", now)
+            assert await current.load()
+            assert current.may_order("m-2", now)
+            assert not current.may_order("m-1", now)
+            assert not previous.may_order("m-2", now + 10)
             await anyio.sleep(0.4 + ORDER_FRESHNESS)
-            assert not present.may_order("m-1", clock.read())
+            assert not current.may_order("m-1", clock.read())
             await anyio.sleep(0.2)
-            assert present.may_order("m-1", clock.read())
+            assert current.may_order("m-1", clock.read())
             tasks.cancel_scope.cancel()
 
     anyio.run(run)
 
 
-def test_an_unreadable_announcement_stops_orders_for_a_moment_only() -> None:
-    """What a former owner stored is damaged, or of an earlier version. A new owner that failed on
-    it would lose the shard, and so would the one after it; nobody's jobs would go on."""
+def test_unreadable_announcement_stops_orders_only_temporarily() -> None:
+    """The announcement stored by a previous owner is damaged or of an earlier version. If a new
+    owner failed on it, so would each of its successors, and no job would run."""
 
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
@@ -122,24 +124,24 @@
             for value in (b'["m-1"]', b'{"machines": [], "clocks": {}}', b"{"):
                 term = await _take(store, "entry-0")
                 await term.write([Put(KEYS.machine_orders("all"), value)])
-                present = MachineOrders(term, ports, KEYS, "all", "entry-0", 0.5, FixedClocks())
-                assert await present.load()
-                assert not present.may_order("m-2", clock.read())
+                current = MachineOrders(term, ports, KEYS, "all", "entry-0", 0.5, FixedClocks())
+                assert await current.load()
+                assert not current.may_order("m-2", clock.read())
                 if value == b"{":
-                    tasks.start_soon(term.keep)
+                    tasks.start_soon(term.renew_until_lost)
                     await anyio.sleep(0.5 + MAX_ORDER_FRESHNESS)
-                    assert present.may_order("m-2", clock.read())
-                await term.give_up()
+                    assert current.may_order("m-2", clock.read())
+                await term.release()
             tasks.cancel_scope.cancel()
 
     anyio.run(run)
 
 
-def test_time_without_an_owner_counts_for_the_machines_of_its_last_orders() -> None:
-    """All entries lose power in a peak and come back three seconds later. The machines that their
-    last owner ordered are needed next; counted from the change of owner, they would be left alone
-    for three seconds more. An executor that has lived on tells how long it was; one that was
-    restarted tells nothing."""
+def test_time_without_an_owner_counts_for_machines_of_its_last_orders() -> None:
+    """All entries lose power during a load peak and return three seconds later. The machines that
+    the last owner ordered are needed at once; if the time were counted from the take-over, they
+    would be withheld for three seconds more. The clock of an executor that kept running shows the
+    time that has passed; the clock of a restarted one does not."""
 
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
@@ -147,13 +149,13 @@
             tasks.start_soon(stand_in.tick)
             store = PlatformStore(HttpClient(), listen(tasks, stand_in))
             ports = Ports(store, *([None] * 4))  # type: ignore[arg-type]
-            former_term = await _take(store, "entry-0")
-            former = MachineOrders(
-                former_term, ports, KEYS, "all", "entry-0", 3.0, FixedClocks({"i-0@1": 50.0})
+            previous_term = await _take(store, "entry-0")
+            previous = MachineOrders(
+                previous_term, ports, KEYS, "all", "entry-0", 3.0, FixedClocks({"i-0@1": 50.0})
             )
-            assert await former.load()
-            await former.announce({"m-1": "pool-1"})
-            await former_term.give_up()
+            assert await previous.load()
+            await previous.announce({"m-1": "pool-1"})
+            await previous_term.release()
             term = await _take(store, "entry-1")
             for clocks, free in (
                 ({"i-0@1": 50.0 + 3.1 + ORDER_FRESHNESS}, True),
@@ -161,17 +163,18 @@
                 ({"i-0@2": 99.0}, False),
             ):
                 shown = FixedClocks(clocks)
-                present = MachineOrders(term, ports, KEYS, "all", "entry-1", 3.0, shown)
-                assert await present.load()
-                assert present.may_order("m-1", clock.read()) is free
+                current = MachineOrders(term, ports, KEYS, "all", "entry-1", 3.0, shown)
+                assert await current.load()
+                assert current.may_order("m-1", clock.read()) is free
             tasks.cancel_scope.cancel()
 
     anyio.run(run)
 
 
-def test_successors_know_for_how_long_a_machine_may_be_on_its_way() -> None:
-    """Owners follow on each other, and a machine was ordered by the first of them. It is counted on
-    for four seconds in all, not with each owner anew, and not less because others were ordered."""
+def test_ordered_machine_is_expected_for_a_fixed_time_across_owners() -> None:
+    """Owners succeed each other, and the first of them ordered a machine. The machine is expected
+    for four seconds in total, neither again from each take-over nor for less time because other
+    machines were ordered."""
 
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
@@ -188,15 +191,15 @@
                 assert await orders.load()
                 assert orders.ordered_by_previous_owner(clock.read()) == ordered
                 await orders.announce({f"m-{number}": "pool-1"})
-                await term.give_up()
+                await term.release()
             tasks.cancel_scope.cancel()
 
     anyio.run(run)
 
 
-def test_successors_know_where_ordered_machines_go_while_orders_may_take_effect() -> None:
-    """Owners follow on each other within a second of an order. The later ones must know as well
-    which machines may be taken away yet, and which pool each goes to."""
+def test_pending_orders_and_their_pools_are_known_to_later_owners() -> None:
+    """Owners succeed each other within a second of an order. The later ones must know which
+    machines may still be moved, and to which pool."""
 
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
@@ -216,16 +219,16 @@
                 assert await orders.load()
                 assert orders.pending_of_previous_owner(clock.read()) == pending
                 await orders.announce(announced)
-                await term.give_up()
+                await term.release()
             tasks.cancel_scope.cancel()
 
     anyio.run(run)
 
 
-def test_a_silent_store_delays_the_next_owner_little_once_it_is_back() -> None:
-    """The store answers nothing for four seconds, and the owner's lease ends meanwhile. A call of a
-    candidate that still waits for its answer then keeps the shard without an owner, and all jobs
-    with it, though the store is there."""
+def test_take_over_soon_after_the_store_recovers() -> None:
+    """The store is unresponsive for four seconds, and the owner's lease expires meanwhile. A
+    pending call of a candidate must not leave the shard without an owner for long once the store
+    answers again."""
 
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
@@ -234,7 +237,7 @@
             store = PlatformStore(HttpClient(), listen(tasks, stand_in))
             await _take(store, "entry-0")
             candidate = Candidate(store, KEYS, "all", "entry-1")
-            tasks.start_soon(candidate.follow)
+            tasks.start_soon(candidate.watch_holder)
             await anyio.sleep(0.3)
             assert candidate.holder is not None
             stand_in.faults.deaf = True
@@ -243,16 +246,16 @@
             await anyio.sleep(3.5)
             stand_in.faults.deaf = stand_in.faults.down = False
             with anyio.fail_after(2.0):
-                await candidate.win()
+                await candidate.acquire()
             tasks.cancel_scope.cancel()
 
     anyio.run(run)
 
 
-def test_a_slow_store_stops_orders_for_one_announcement_only() -> None:
-    """Each write takes 0.6 s, longer than an order may come after its announcement while the store
-    is quick. If no order ever went out, a peak's pool would stay as it was for as long as the store
-    is slow."""
+def test_slow_store_delays_orders_by_one_announcement_only() -> None:
+    """Each write takes 0.6 s, longer than an announcement stays fresh while the store is fast. If
+    orders were never sent, a pool under peak load would not grow for as long as the store is
+    slow."""
 
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
@@ -273,10 +276,10 @@
     anyio.run(run)
 
 
-def test_the_entry_with_the_most_processor_takes_a_free_shard() -> None:
-    """The owner of hundreds of executors is lost in a peak. Taken over by an entry with half a
-    core while one with two is there, the shard starts too few tasks for as long as it has it,
-    however much room there is."""
+def test_entry_with_the_most_cores_takes_a_free_shard() -> None:
+    """The owner of hundreds of executors is lost during a load peak. If an entry with half a core
+    took over although one with two cores is available, the shard would start too few tasks for as
+    long as that entry owns it, however much free capacity there is."""
 
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
@@ -289,7 +292,7 @@
                 for name, cores in sizes.items()
             }
             for candidate in candidates.values():
-                tasks.start_soon(candidate.follow)
+                tasks.start_soon(candidate.watch_holder)
             for _ in range(6):
                 assert await _first_to_win(candidates) == "large"
             tasks.cancel_scope.cancel()
@@ -298,50 +301,50 @@
 
 
 async def _first_to_win(candidates: dict[str, Candidate]) -> str:
-    """Let all try for the shard; returns who got it, and gives it up again."""
+    """Let all candidates try to take the shard, release it again, and return the winner's name."""
     winners: list[str] = []
 
-    async def try_for_it(name: str, candidate: Candidate) -> None:
-        term = await candidate.win()
+    async def try_to_acquire(name: str, candidate: Candidate) -> None:
+        term = await candidate.acquire()
         winners.append(name)
         scope.cancel()
         with anyio.CancelScope(shield=True):
-            await term.give_up()
+            await term.release()
 
     with anyio.CancelScope() as scope:
         async with anyio.create_task_group() as tries:
             for name, candidate in candidates.items():
-                tries.start_soon(try_for_it, name, candidate)
+                tries.start_soon(try_to_acquire, name, candidate)
     await anyio.sleep(0.1)
     return winners[0]
 
 
-def test_a_candidate_that_a_last_write_got_ahead_of_tries_again_at_once(
+def test_claim_is_retried_at_once_after_a_concurrent_write_of_the_previous_owner(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A former owner's last write lands while an entry takes the shard. If it paused then, entries
-    that are less suited to own the shard would be there first."""
-    monkeypatch.setattr(candidate_module, "TRY_PAUSE", 60.0)
+    """The last write of the previous owner takes effect while an entry takes the shard. If that
+    entry waited before its retry, a less suitable entry would take the shard first."""
+    monkeypatch.setattr(candidate_module, "RETRY_INTERVAL", 60.0)
 
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
             stand_in = StandInStore()
             tasks.start_soon(stand_in.tick)
             store = PlatformStore(HttpClient(), listen(tasks, stand_in))
-            former = await _take(store, "entry-0")
-            await former.give_up()
+            previous = await _take(store, "entry-0")
+            await previous.release()
             candidate = Candidate(store, KEYS, "all", "entry-1")
             grant = store.grant_lease
 
             async def grant_late(ttl: float) -> int:
                 store.grant_lease = grant  # type: ignore[method-assign]
-                await former.write([Put("value/last", b"x")])
+                await previous.write([Put("value/last", b"x")])
                 return await grant(ttl)
 
             store.grant_lease = grant_late  # type: ignore[method-assign]
-            tasks.start_soon(candidate.follow)
+            tasks.start_soon(candidate.watch_holder)
             with anyio.fail_after(5):
-                await candidate.win()
+                await candidate.acquire()
             tasks.cancel_scope.cancel()
 
     anyio.run(run)
--- a/vanillawell/tests/weak_owner_tests.py
+++ b/vanillawell/tests/weak_owner_tests.py
@@ -1,8 +1,8 @@
-"""Prove that an entry that can't carry a shard doesn't keep it from one that can.
+"""Test that an entry without enough capacity for a shard hands it over to one that has it.
 
-While the store is slow or loses answers, an entry with half a core and a narrow link may be the
-first to take a free shard. As its owner it needs seconds to store each turn, for as long as it
-stays: jobs start seconds late, and at the end some that could run don't.
+While the store is slow or loses answers, an entry with half a core and a slow network link may take
+a free shard first. As the owner it needs seconds to store each scheduling cycle, so jobs start
+seconds late or not at all.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from vanillawell import clock
 from vanillawell.coordination import challenger
 from vanillawell.coordination.holder_watch import HolderWatch
-from vanillawell.node import GIVE_WAY_BOUND
+from vanillawell.node import BIDDER_HAND_OVER_TIMEOUT
 from vanillawell.platform.http import HttpClient
 from vanillawell.platform.store import PlatformStore
 from vanillawell.protocol.work_documents import Contender, WorkKeys
@@ -30,7 +30,11 @@
     until_state,
     with_cluster,
 )
-from vanillawell.tests.stopping_owner_tests import LastWordsLost, lasting_task, wait_for_start
+from vanillawell.tests.stopping_owner_tests import (
+    FinalDocumentsUnconfirmed,
+    start_long_running_task,
+    wait_for_start,
+)
 
 if TYPE_CHECKING:
     from vanillawell.tests.scheduler_cluster import Cluster, Member
@@ -38,16 +42,17 @@
 WEAK: dict[str, float] = {"processor_share": 0.5, "link_mbit": 5}
 STRONG: dict[str, float] = {"processor_speed": 2, "link_mbit": 100}
 
-CHANGE_BOUND = 4.0
-"""Seconds within which a stronger entry owns the shard; what runs holds leases for longer."""
+CHANGE_TIMEOUT = 4.0
+"""Seconds within which a stronger entry owns the shard; shorter than the leases of running
+tasks."""
 
 
 LEASE_OF_TASKS = 6.0
-"""Seconds after which what runs has ended unless its lease was renewed."""
+"""Seconds after which a running task has ended unless its lease was renewed."""
 
 
 async def weak_owner(built: Cluster) -> Member:
-    """Let a weak entry own the shard, since it is the only one left."""
+    """Make a weak entry the owner by stopping all others; return it."""
     weak = built.add_member("weak", WEAK)
     await anyio.sleep(0.3)
     await built.kill(built.members[0])
@@ -56,22 +61,22 @@
 
 
 def token(built: Cluster) -> int:
-    """Return the fencing token of the present owner."""
+    """Return the fencing token of the current owner."""
     term = next(member.node.term for member in built.members if member.owns)
     assert term is not None
     return term.token
 
 
 @with_cluster(members=1)
-async def test_a_weak_owner_hands_its_shard_to_a_stronger_entry(built: Cluster) -> None:
-    """A weak entry took the shard while no strong one was there. Once one is back it gets the
-    shard, and nothing that runs is started again."""
+async def test_weak_owner_hands_its_shard_over_to_a_stronger_entry(built: Cluster) -> None:
+    """A weak entry took the shard while no strong one was running. Once one is, it gets the shard,
+    and no running task is restarted."""
     weak, job_id = await weak_owner(built), built.new_id()
     await weak.call("POST", PREFIX + job_id, job(step(longRunning=True), spec={"seconds": 60}))
     task = f"{job_id}.0.0.0"
     await until(lambda: task in built.audit.started)
     strong = built.add_member("strong", STRONG)
-    await until(lambda: strong.owns, CHANGE_BOUND)
+    await until(lambda: strong.owns, CHANGE_TIMEOUT)
     next_id = built.new_id()
     await weak.call("POST", PREFIX + next_id, job())
     await until_state(strong, next_id, "completed", 2.0)
@@ -81,51 +86,52 @@
 
 
 @with_cluster(members=1)
-async def test_a_weak_owner_gives_way_while_the_store_is_slow(built: Cluster) -> None:
-    """Each call to the store takes as long as the whole head start of strong entries, so one of
-    many weak ones is the first. The shard still comes to a strong one."""
+async def test_weak_owner_hands_over_while_the_store_is_slow(built: Cluster) -> None:
+    """Each call to the store takes as long as the delay that weak entries apply to their claims, so
+    one of many weak entries may win. A strong entry still gets the shard in the end."""
     await weak_owner(built)
     built.store.faults.delay = 0.25
     weaker = [built.add_member(f"weak-{number}", WEAK) for number in range(3)]
     strong = built.add_member("strong", STRONG)
-    await until(lambda: strong.owns, 2 * CHANGE_BOUND)
+    await until(lambda: strong.owns, 2 * CHANGE_TIMEOUT)
     assert not any(member.owns for member in weaker)
 
 
 @with_cluster(members=1)
-async def test_a_shard_stays_where_it_is_among_entries_of_the_same_strength(
+async def test_owner_does_not_change_among_entries_of_equal_capacity(
     built: Cluster,
 ) -> None:
-    """No entry of a fleet has a whole core. Handing the shard round among them would interrupt all
-    callers again and again for nothing."""
+    """No entry of a fleet has a whole core. Changes of owner among them would interrupt all callers
+    repeatedly without any benefit."""
     await weak_owner(built)
     before = token(built)
     for number in range(3):
         built.add_member(f"weak-{number}", WEAK)
-    await anyio.sleep(CHANGE_BOUND)
+    await anyio.sleep(CHANGE_TIMEOUT)
     assert token(built) == before
 
 
 @with_cluster(members=1)
-async def test_the_shard_is_not_left_to_an_entry_that_asked_for_it_and_died(
+async def test_previous_owner_takes_the_shard_back_if_the_bidder_was_lost(
     built: Cluster,
 ) -> None:
-    """A strong entry asks for the shard and is lost before it takes it. The weak one takes it back
-    at once; callers don't wait for the dead one's request to lapse."""
+    """A strong entry bids for the shard and is lost before it takes it. The weak one takes the
+    shard back early; callers do not wait until the bid expires."""
     weak = await weak_owner(built)
     before = token(built)
     built.store.put_document(WorkKeys().bid("all"), asdict(Contender("gone/0", 0.0)))
     await until(lambda: not weak.owns, 2.0)
     began = clock.read()
     await until(lambda: weak.owns, 3.0)
-    assert clock.read() - began < challenger.PRECEDENCE + 1.0
+    assert clock.read() - began < challenger.BIDDER_HEAD_START + 1.0
     assert token(built) > before
 
 
 @with_cluster(members=1)
-async def test_an_owner_that_fails_to_hand_over_goes_on(built: Cluster) -> None:
-    """The store loses the answer to the last word of an owner that gives way. It may be in force,
-    so nothing is renewed any more; the owner must go back on it, or all that runs ends."""
+async def test_owner_that_fails_to_hand_over_continues(built: Cluster) -> None:
+    """The answer to the final lease document is lost during a hand-over to a bidder. Since the
+    document may be stored, no lease may be renewed; the owner has to replace it, or all running
+    tasks end."""
     weak, job_id, next_id = await weak_owner(built), built.new_id(), built.new_id()
     await weak.call("POST", PREFIX + job_id, job(step(longRunning=True), spec={"seconds": 60}))
     task = f"{job_id}.0.0.0"
@@ -145,26 +151,27 @@
 
 @with_cluster(members=1)
 async def test_jobs_start_while_an_owner_fails_to_hand_over(built: Cluster) -> None:
-    """An owner gives way, and no last word of it is ever confirmed. For the three seconds in which
-    it tries it alone decides, and what it starts needs leases that it may extend."""
+    """No final lease document of an owner that hands over to a bidder is ever confirmed. It remains
+    the owner for the three seconds in which it tries, and has to start jobs and extend their
+    leases."""
     weak = await weak_owner(built)
-    task, before = await lasting_task(built, weak), token(built)
-    lost = LastWordsLost(weak, carried_out=True, delay=0.5)
+    task, before = await start_long_running_task(built, weak), token(built)
+    lost = FinalDocumentsUnconfirmed(weak, carried_out=True, delay=0.5)
     built.store.put_document(WorkKeys().bid("all"), asdict(Contender("stronger/0", 0.0)))
     await until(lambda: lost.tries > 0)
     waits: list[float] = []
     while lost.tries < 3:
         await wait_for_start(built, weak, waits)
     assert max(waits) < 1.5
-    await anyio.sleep(GIVE_WAY_BOUND)
+    await anyio.sleep(BIDDER_HAND_OVER_TIMEOUT)
     assert token(built) == before
     assert set(built.audit.started.values()) == {1}
     assert any(task in executor.running for executor in built.executors)
 
 
-def test_a_damaged_holder_counts_as_one_that_can_carry_the_shard() -> None:
-    """The holder's key has a form that this version can't read. Taken for a weak owner it would be
-    asked for the shard again and again."""
+def test_unreadable_holder_counts_as_having_no_shortfall() -> None:
+    """The holder document has a format that this version cannot read. If the holder counted as
+    weak, entries would bid for its shard repeatedly."""
 
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
