--- a/vanillawell/tests/busy_owner_tests.py
+++ b/vanillawell/tests/busy_owner_tests.py
@@ -24,7 +24,7 @@
     from vanillawell.state.work import Task
     from vanillawell.tests.scheduler_cluster import Cluster
 
-FLEET = 100
+FLEET_SIZE = 100
 """Number of executors in the pool under load."""
 
 STORE_DELAY = 0.02
@@ -47,8 +47,8 @@
 
 def _fleet(rng: random.Random) -> ShardHarness:
     """Return a shard whose executors are unevenly loaded."""
-    harness = ShardHarness(*(facts(f"i-{number:03}", cpu=16_000) for number in range(FLEET)))
-    for _ in range(FLEET):
+    harness = ShardHarness(*(facts(f"i-{number:03}", cpu=16_000) for number in range(FLEET_SIZE)))
+    for _ in range(FLEET_SIZE):
         harness.admit(plain_job(plain_step(rng.randint(1, 8), cpu=rng.randint(300, 3_000))))
     harness.place()
     return harness
@@ -96,7 +96,7 @@
         assert chosen is not None
         harness.shard.plan(task, chosen, 1, "", harness.now)
         placer.placed(chosen)
-    assert compared < 12 * FLEET
+    assert compared < 12 * FLEET_SIZE
 
 
 @with_cluster(members=1, executors=8)
--- a/vanillawell/tests/owner_memory_tests.py
+++ b/vanillawell/tests/owner_memory_tests.py
@@ -22,7 +22,7 @@
     stop,
 )
 
-WAVE = 4.0
+WAVE_DURATION = 4.0
 """Seconds within which each machine of a wave has to complete its upkeep."""
 
 
@@ -32,7 +32,7 @@
     """Return the shard of a new owner that has loaded the stored records of `harness`.
 
     Args:
-        bench: Shard of the previous owner.
+        harness: Shard of the previous owner.
         names: Executors that are registered with the new owner.
         machine: Stored machine of all other executors.
         incarnation: Stored incarnation of all other executors.
@@ -67,12 +67,12 @@
     await owner.call("POST", PREFIX + job_id, long_running)
     await until(lambda: f"{job_id}.0.0.0" in built.audit.started)
     machine = next(iter(built.machines.machines.values()))
-    wave = {"wave": 1, "machines": [machine.name], "durationS": WAVE, "maximum": 1}
+    wave = {"wave": 1, "machines": [machine.name], "durationS": WAVE_DURATION, "maximum": 1}
     built.store.put_document("op/wave/1", wave)
-    with anyio.fail_after(WAVE):
-        await anyio.sleep(WAVE / 2)
+    with anyio.fail_after(WAVE_DURATION):
+        await anyio.sleep(WAVE_DURATION / 2)
         await stop(built, await built.owner())
-        await until(lambda: machine.upkeeps == 1, WAVE)
+        await until(lambda: machine.upkeeps == 1, WAVE_DURATION)
 
 
 def test_sole_owner_retries_a_failed_task_elsewhere() -> None:
@@ -95,9 +95,9 @@
     await owner.call("POST", PREFIX + job_id, long_running)
     await until(lambda: f"{job_id}.0.0.0" in built.audit.started)
     machine = next(iter(built.machines.machines.values()))
-    wave = {"wave": 1, "machines": [machine.name], "durationS": WAVE, "maximum": 1}
+    wave = {"wave": 1, "machines": [machine.name], "durationS": WAVE_DURATION, "maximum": 1}
     built.store.put_document("op/wave/1", wave)
-    await until(lambda: machine.upkeeps == 1, WAVE)
+    await until(lambda: machine.upkeeps == 1, WAVE_DURATION)
 
 
 @with_cluster(members=3, executors=3)
@@ -170,11 +170,11 @@
     await owner.call("POST", PREFIX + job_id, long_running)
     await until(lambda: f"{job_id}.0.0.0" in built.audit.started)
     machine = next(iter(built.machines.machines.values()))
-    wave = {"wave": 1, "machines": [machine.name], "durationS": WAVE, "maximum": 1}
-    with anyio.fail_after(WAVE):
+    wave = {"wave": 1, "machines": [machine.name], "durationS": WAVE_DURATION, "maximum": 1}
+    with anyio.fail_after(WAVE_DURATION):
         await built.kill(await built.owner())
         built.store.put_document("op/wave/1", wave)
-        await until(lambda: machine.upkeeps == 1, WAVE)
+        await until(lambda: machine.upkeeps == 1, WAVE_DURATION)
 
 
 async def _replace_a_silent_executor(built: Cluster, name: str) -> None:
--- a/vanillawell/tests/scheduler_failure_tests.py
+++ b/vanillawell/tests/scheduler_failure_tests.py
@@ -103,7 +103,7 @@
 
 @with_cluster()
 async def test_stored_job_is_not_refused_because_of_a_lost_answer(built: Cluster) -> None:
-    """The store stores a job and its answer is lost. The caller must not be told that the job was
+    """The store accepts a job and its answer is lost. The caller must not be told that the job was
     refused, or it would submit the work elsewhere while it runs here."""
     member, job_id = built.members[0], built.new_id()
     built.store.faults.only = lambda body: "inbox/job" in body
--- a/vanillawell/tests/stopping_owner_tests.py
+++ b/vanillawell/tests/stopping_owner_tests.py
@@ -30,7 +30,7 @@
 if TYPE_CHECKING:
     from vanillawell.protocol.store import Transaction, TransactionResult
 
-STOP = 4.1
+STOP_DURATION = 4.1
 """Seconds between the request to stop and the end of the process."""
 
 MAX_START_DELAY = 3.0
@@ -108,7 +108,7 @@
 
 
 async def _end_process(built: Cluster, owner: Member) -> None:
-    await anyio.sleep(STOP)
+    await anyio.sleep(STOP_DURATION)
     await built.kill(owner)
 
 
@@ -121,7 +121,7 @@
     task = await start_long_running_task(built, owner)
     built.store.faults.only = lambda body: "leases/all" in body
     built.store.faults.lose_answers = 1
-    with anyio.fail_after(STOP):
+    with anyio.fail_after(STOP_DURATION):
         await owner.node.hand_over()
         await until(lambda: other.owns, TAKE_OVER_TIME)
     await built.kill(owner)
@@ -143,7 +143,7 @@
         tasks.start_soon(owner.node.hand_over)
         await anyio.sleep(2.0)
         built.store.faults.refuse = False
-        await until(lambda: other.owns, STOP - 2.0)
+        await until(lambda: other.owns, STOP_DURATION - 2.0)
 
 
 @pytest.mark.parametrize(
@@ -172,7 +172,7 @@
             for _ in range(16):
                 tasks.start_soon(wait_for_start, built, other, waits)
                 await anyio.sleep(0.2)
-            await anyio.sleep(STOP - (clock.read() - began))
+            await anyio.sleep(STOP_DURATION - (clock.read() - began))
             await until(lambda: other.owns, TAKE_OVER_TIME)
         assert lost.tries > 1
         assert max(waits) < MAX_START_DELAY
--- a/vanillawell/tests/store_health_tests.py
+++ b/vanillawell/tests/store_health_tests.py
@@ -14,10 +14,10 @@
 from vanillawell.tests.scheduler_cluster import PREFIX as JOBS
 from vanillawell.tests.scheduler_cluster import Cluster, job, until, with_cluster
 
-AT_ONCE = 0.7
+REFUSAL_TIME = 0.7
 """Seconds within which a caller is told that the store does not answer."""
 
-WATCH_LOST = 2.5
+WATCH_FAILURE_TIME = 2.5
 """Seconds after which an entry's pending watch call to an unresponsive store has failed."""
 
 
@@ -34,7 +34,7 @@
         reply = await member.call("POST", JOBS + job_id, job())
         assert reply.status == 503
         assert "retry-after" in reply.headers
-        assert clock.read() - began < AT_ONCE
+        assert clock.read() - began < REFUSAL_TIME
     built.store.faults.down = False
     await anyio.sleep(0.5)
     assert not any(f"vanillawell/order/{job_id}" in built.store.items for job_id in jobs[1:])
@@ -50,11 +50,11 @@
     entry were written all the same, its caller would get an unknown outcome and could not retry."""
     member, job_id = await built.owner(), built.new_id()
     built.store.faults.down = True
-    await anyio.sleep(WATCH_LOST)
+    await anyio.sleep(WATCH_FAILURE_TIME)
     began = clock.read()
     reply = await member.call("POST", JOBS + job_id, job())
     assert reply.status == 503
-    assert clock.read() - began < AT_ONCE
+    assert clock.read() - began < REFUSAL_TIME
 
 
 def test_single_lost_answer_does_not_count_as_an_unresponsive_store() -> None:
