--- a/vanillawell/coordination/advice_desk.py
+++ b/vanillawell/coordination/advice_desk.py
@@ -12,7 +12,7 @@
 from vanillawell.protocol.calls import NoAnswerError, NotSentError
 from vanillawell.protocol.machine_calls import AdviceBusyError
 from vanillawell.state.executors import by_service
-from vanillawell.state.placement import load
+from vanillawell.state.placement import cpu_utilisation
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable, Sequence
@@ -86,7 +86,7 @@
         """
         without = [
             step
-            for step in self._shard.board.open_steps
+            for step in self._shard.job_table.open_steps
             if self._rule(step) and _key(step) not in self._shard.tickets
         ]
         if not without:
@@ -94,7 +94,7 @@
         moved = _steps_to_move(self._shard.ledger.executors.values())
         lacking = [step for step in without if step.has_waiting or step in moved]
         usable: dict[str, list[str]] = {}
-        for step in sorted(lacking, key=lambda step: step.record.late_by):
+        for step in sorted(lacking, key=lambda step: step.record.deadline):
             queue = self._shard.queue_of(step.record.job)
             assert queue is not None and queue.advice is not None
             if queue.service not in usable:
@@ -106,7 +106,7 @@
     def _usable(self, service: str, now: float) -> list[str]:
         """Return the executors to ask about, those with least work first."""
         pool = by_service(self._shard.ledger.executors.values(), service)
-        usable = sorted((item for item in pool if item.takes_work(now)), key=load)
+        usable = sorted((item for item in pool if item.accepts_tasks(now)), key=cpu_utilisation)
         return [item.name for item in usable][:MOST_EXECUTORS]
 
     async def _ask(self, question: Question) -> None:
@@ -142,7 +142,7 @@
     return {
         run.task.step
         for item in executors
-        if item.is_emptied
+        if item.must_drain
         for run in item.runs.values()
         if run.task.step.spec.long_running
     }
--- a/vanillawell/coordination/drain_runner.py
+++ b/vanillawell/coordination/drain_runner.py
@@ -60,7 +60,9 @@
         if not self._term.is_held(now):
             self._tell(executor, "waits for the store", now)
             return
-        runs = to_move(executor, lambda run: self._shard.has_place(run, now), self._kill_grace, now)
+        runs = to_move(
+            executor, lambda run: self._shard.can_place_elsewhere(run, now), self._kill_grace, now
+        )
         for run in runs:
             self._stop(executor, run, now)
         self._tell(executor, self._outcome(executor, now), now)
@@ -73,7 +75,7 @@
             return "empty"
         if leaves_soon(executor, self._kill_grace, now):
             return "all stopped"
-        return "moving" if any(run.stop_wanted for run in left) else "held"
+        return "moving" if any(run.stop_requested for run in left) else "held"
 
     def _stop(self, executor: Executor, run: Run, now: float) -> None:
         soon = leaves_soon(executor, self._kill_grace, now)
@@ -81,7 +83,7 @@
         fields = {"job": task_id.job_id, "task": task_id[1:], "run": run.number}
         why = "executor leaves soon" if soon else "place elsewhere"
         log.info("task moved", extra={**fields, **self._describe(executor, now), "why": why})
-        self._shard.want_stop(run)
+        self._shard.request_stop(run)
 
     def _tell(self, executor: Executor, outcome: str, now: float) -> None:
         """Log how far an executor is emptied, once for each change."""
@@ -106,6 +108,6 @@
             "runs": len(executor.runs),
             "lasting": len(lasting_runs(executor)),
             "remaining": round(time_left(executor, now), 3),
-            "age": round(now - executor.told_at, 3),
+            "age": round(now - executor.departure_reported_at, 3),
             "token": self._term.token,
         }
--- a/vanillawell/coordination/driver_clocks.py
+++ b/vanillawell/coordination/driver_clocks.py
@@ -32,7 +32,7 @@
         read = sorted(
             self._read(),
             key=lambda item: (
-                item.executor.is_out_of_touch,
+                item.executor.is_unconfirmed,
                 not has_lasting(item.executor),
                 -item.clock.read_at,
             ),
--- a/vanillawell/coordination/executor_driver.py
+++ b/vanillawell/coordination/executor_driver.py
@@ -104,8 +104,8 @@
         if not executor.facts.address:
             return False
         return (
-            executor.is_out_of_touch
-            or executor.asked_from is not None
+            executor.is_unconfirmed
+            or executor.order_void_since is not None
             or any(run.phase is not RunPhase.PLANNED for run in executor.runs.values())
             or self._ends_to_confirm() > self._confirmed_end
             or bool(executor.unsaved_ends)
@@ -120,7 +120,7 @@
             with anyio.move_on_after(self._save_patience()):
                 while self._executor.unsaved_ends and self._is_needed():
                     await self._wait_for_news()
-        if not self._executor.is_out_of_touch:
+        if not self._executor.is_unconfirmed:
             await self._await_permission()
         sent, target = clock.read(), self._link.target()
         try:
@@ -157,9 +157,9 @@
 
     def _wait(self) -> float:
         """Return the seconds that the next hold may wait for an end."""
-        if not self._executor.contacted or self._executor.silent_since is not None:
+        if not self._executor.contacted or self._executor.unresponsive_since is not None:
             return 0.0
-        if self._executor.asked_from is not None:
+        if self._executor.order_void_since is not None:
             return 0.0
         if not self._link.may_extend_lease():
             return SHORT_HOLD
@@ -171,7 +171,7 @@
     @staticmethod
     def _is_watched(run: Run) -> bool:
         spec = run.task.step.spec
-        return not spec.long_running or not run.at_work or bool(spec.tail_target)
+        return not spec.long_running or not run.is_available or bool(spec.tail_target)
 
     async def hold(self, wait: float) -> None:
         """Renew the lease, confirm what is stored and take in the report."""
@@ -189,7 +189,7 @@
             raise
         if not self._is_needed():
             return
-        if self._executor.is_of_former_life(report.incarnation, sent):
+        if self._executor.is_from_earlier_incarnation(report.incarnation, sent):
             fields = {"executor": self._executor.name, "incarnation": report.incarnation}
             log.info("report of a former life", extra=fields)
             return
@@ -238,7 +238,7 @@
         An executor that does not answer gets no renewal: each call might still reach it, and its
         runs could never be given up. Nor does an owner renew long after it lost its own lease.
         """
-        if not self._link.knows_clock or self._executor.silent_since is not None:
+        if not self._link.knows_clock or self._executor.unresponsive_since is not None:
             return None
         if not self._link.may_extend_lease():
             return None
@@ -247,11 +247,11 @@
         return self._link.extend_lease(now)
 
     def _note_contact(self) -> None:
-        if self._executor.silent_since is not None:
-            silent = round(clock.read() - self._executor.silent_since, 3)
+        if self._executor.unresponsive_since is not None:
+            silent = round(clock.read() - self._executor.unresponsive_since, 3)
             fields = {"dependency": self._executor.name, "silent": silent}
             log.warning("dependency regained", extra=fields)
-        self._executor.silent_since = None
+        self._executor.unresponsive_since = None
 
     def _note_failure(self, error: Exception) -> None:
         """Give the executor no new work for a while, and rely on nothing that it runs.
@@ -259,14 +259,14 @@
         Not even a refused connection proves that it has ended: a path that is cut may answer
         for it, while it runs on.
         """
-        self._link.suspect()
-        self._executor.fall_silent()
+        self._link.block_placement()
+        self._executor.mark_unresponsive()
         if not self._executor.facts.address:
             return
-        if self._executor.silent_since is None:
+        if self._executor.unresponsive_since is None:
             now = clock.read()
-            self._executor.silent_since = now
-            left = self._executor.lease_over - now
+            self._executor.unresponsive_since = now
+            left = self._executor.lease_expires_at - now
             fields = {
                 "dependency": self._executor.name,
                 "reason": str(error),
--- a/vanillawell/coordination/executor_link.py
+++ b/vanillawell/coordination/executor_link.py
@@ -11,7 +11,7 @@
 from vanillawell import clock
 from vanillawell.coordination.leases import LEASE, LEASE_MARGIN, ExecutorClock
 from vanillawell.protocol.executor_calls import Refused, Target
-from vanillawell.state.executors import SUSPICION
+from vanillawell.state.executors import UNREACHABLE_BLOCK_TIME
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -110,9 +110,9 @@
         From here on the lease is reckoned with, since the call may arrive.
         """
         lease = min(LEASE, self.longest_lease)
-        before = self.executor.lease_over
+        before = self.executor.lease_expires_at
         over = self.clock.surely_over(now, lease) + self.kill_grace + LEASE_MARGIN
-        self.executor.lease_over = max(before, over)
+        self.executor.lease_expires_at = max(before, over)
         self._extensions += 1
         return LeaseExtension(self.clock.lease_end(now, lease), self._extensions, before)
 
@@ -123,7 +123,7 @@
         calls for as long as it refuses, though their leases have expired.
         """
         if extension is not None and extension.number == self._extensions:
-            self.executor.lease_over = extension.over_before
+            self.executor.lease_expires_at = extension.over_before
 
     def answered(self, incarnation: int, reading: float, sent: float, now: float) -> None:
         """Take in the answer to a call to one life that was sent at `sent`, with a reading of its
@@ -132,9 +132,9 @@
             self.clock.note(reading, sent, now)
         self.answered_at = now
 
-    def suspect(self) -> None:
+    def block_placement(self) -> None:
         """Give the executor no new work for a while."""
-        self.executor.suspect(clock.read() + SUSPICION)
+        self.executor.block_placement(clock.read() + UNREACHABLE_BLOCK_TIME)
 
     def suspect_if_silent(self, sent: float) -> None:
         """Give the executor no new work for a while if it has answered nothing since `sent`.
@@ -144,13 +144,13 @@
         order in fifteen unanswered, nine of 21 executors got no work at any time.
         """
         if self.answered_at < sent:
-            self.suspect()
+            self.block_placement()
 
     def refused(self, error: OrderRefusedError) -> None:
         """Take in the refusal of a report; raises DeposedError if another entry owns the shard."""
         if error.reason is Refused.FENCE:
             raise DeposedError(self.executor.name) from error
-        self.suspect()
+        self.block_placement()
         fields = {"executor": self.executor.name, "reason": error.reason.value}
         log.warning("hold refused", extra=fields)
 
@@ -163,7 +163,7 @@
         is_present = target.incarnation == self.executor.facts.incarnation
         fields = {"executor": target.executor, "reason": reason, "is_present": is_present}
         log.warning("executor gone", extra={**fields, "runs": len(self.executor.runs)})
-        self.shard.dead(target.executor, target.incarnation, clock.read(), self.wall())
+        self.shard.mark_terminated(target.executor, target.incarnation, clock.read(), self.wall())
         self.wake_owner()
 
     def describe(self, run: Run) -> dict[str, object]:
--- a/vanillawell/coordination/former_orders.py
+++ b/vanillawell/coordination/former_orders.py
@@ -65,7 +65,7 @@
             over = [name for name in pending if orders.is_over(name, now)]
             for name in over:
                 del pending[name]
-                self._shard.ledger.let_go(name, now)
+                self._shard.ledger.release_machine(name, now)
             if over:
                 some = sorted(over)[:NAMES_TOLD]
                 log.info("machines let go", extra={"machines": len(over), "some": some})
--- a/vanillawell/coordination/hand_over.py
+++ b/vanillawell/coordination/hand_over.py
@@ -30,7 +30,7 @@
 
     Returns the executors that did not answer, which may have fallen silent just before.
     """
-    sound = [item for item in drivers if item.executor.runs and not item.executor.is_out_of_touch]
+    sound = [item for item in drivers if item.executor.runs and not item.executor.is_unconfirmed]
     unanswered = {driver.executor.name for driver in sound}
 
     async def renew(driver: ExecutorDriver) -> None:
--- a/vanillawell/coordination/inbox.py
+++ b/vanillawell/coordination/inbox.py
@@ -91,7 +91,7 @@
     def _take(self, key: str, value: bytes) -> None:
         cancelled = self._keys.is_cancel(key)
         if cancelled:
-            if cancelled in self._shard.board.jobs:
+            if cancelled in self._shard.job_table.jobs:
                 self._cancel(cancelled)
                 self._note_taken(cancelled, key)
             return
@@ -99,7 +99,7 @@
         if not job_id:
             return
         self._note_taken(job_id, key)
-        if job_id in self._shard.board.jobs:
+        if job_id in self._shard.job_table.jobs:
             return
         try:
             job = read_job(value)
@@ -115,14 +115,14 @@
                     "queue": job.queue,
                     "organisation": job.organisation,
                     "tasks": sum(step.count for step in job.steps),
-                    "objective": round(record.late_by - record.seen, 3),
+                    "objective": round(record.deadline - record.seen_at, 3),
                     "waited": round(time.time() - job.accepted_at, 3),
                 },
             )
 
     def _note_taken(self, job_id: str, key: str) -> None:
         """Let a key of the inbox go together with the record that replaces it."""
-        self._shard.outbox.taken.setdefault(job_id, set()).add(key)
+        self._shard.outbox.accepted_requests.setdefault(job_id, set()).add(key)
 
     def _cancel(self, job_id: str) -> None:
         if self._shard.cancel(job_id, time.time()):
--- a/vanillawell/coordination/lease_keeper.py
+++ b/vanillawell/coordination/lease_keeper.py
@@ -17,7 +17,7 @@
 from vanillawell.coordination.leases import REFERENCE_CLOCKS, surely_passed
 from vanillawell.protocol.lease_bounds import ExecutorBound, LeaseBounds
 from vanillawell.protocol.store import Put
-from vanillawell.state.ledger import RecalledBound
+from vanillawell.state.ledger import InheritedLeaseBound
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -83,15 +83,15 @@
         """Note that the work of former terms is known, and executors are asked from now on."""
         self._began = now
 
-    def recalled_bound(self, executor: str, now: float) -> RecalledBound:
+    def recalled_bound(self, executor: str, now: float) -> InheritedLeaseBound:
         """Return what is known of an executor from former terms, on this process's clock.
 
         Nothing is known yet of the time that has passed since it was stored.
         """
         bound = self._former.of(executor)
         if bound is None:
-            return RecalledBound(now + self._longest_doubt, now)
-        return RecalledBound(
+            return InheritedLeaseBound(now + self._longest_doubt, now)
+        return InheritedLeaseBound(
             now + bound.left + ROUNDING, now - bound.known_for, bound.machine, bound.life
         )
 
@@ -105,7 +105,7 @@
             bound = self._former.of(executor.name)
             if bound is not None:
                 over = now + max(0.0, bound.left - passed) + ROUNDING
-                executor.lease_over = min(executor.lease_over, over)
+                executor.lease_expires_at = min(executor.lease_expires_at, over)
 
     def may_extend(self, executor: str) -> bool:
         """Tell whether leases of an executor may be extended."""
@@ -199,7 +199,7 @@
         Named too early, one that is sound would be renewed only after two more writes.
         """
         if executor.contacted:
-            return executor.silent_since is not None
+            return executor.unresponsive_since is not None
         late = self._began is not None and now > self._began + CONTACT_BOUND
         return late or executor.name in self._stored
 
@@ -219,5 +219,5 @@
         facts = executor.facts
         is_found = not executor.contacted and self._former.of(executor.name) is not None
         added = ROUNDING - PASSED_ON if is_found else 0.0
-        left, known_for = executor.lease_over - now - added, now - executor.known_since
+        left, known_for = executor.lease_expires_at - now - added, now - executor.tracked_since
         return ExecutorBound(max(0.0, left), known_for, facts.machine, facts.incarnation)
--- a/vanillawell/coordination/loss_watch.py
+++ b/vanillawell/coordination/loss_watch.py
@@ -81,7 +81,7 @@
         fields = {"executor": executor.name, "machine": executor.facts.machine, "reason": reason}
         figures = {"runs": len(executor.runs), "age": round(now - asked, 3)}
         log.warning("executor has ended", extra={**fields, **figures})
-        self._shard.dead(executor.name, executor.facts.incarnation, now, time.time())
+        self._shard.mark_terminated(executor.name, executor.facts.incarnation, now, time.time())
         self._wake()
 
 
@@ -96,6 +96,6 @@
         if executor.contacted or not executor.runs:
             continue
         fields = {"executor": executor.name, "token": token, "registered": executor.registered}
-        left = round(max(0.0, executor.lease_over - now), 3)
+        left = round(max(0.0, executor.lease_expires_at - now), 3)
         figures = {"runs": len(executor.runs), "lease_left": left}
         log.warning("executor not reached", extra={**fields, **figures})
--- a/vanillawell/coordination/pool_demand.py
+++ b/vanillawell/coordination/pool_demand.py
@@ -10,10 +10,10 @@
 
 from vanillawell.protocol.machine_calls import MachineState
 from vanillawell.state.losses import is_believed
-from vanillawell.state.placement_pass import HELD_BY_ROOM
+from vanillawell.state.placement_pass import HELD_BY_CAPACITY
 from vanillawell.state.pool_sizing import PoolDemand, demanded_cores, lasting_floor
-from vanillawell.state.trial_placement import machines_lacking
-from vanillawell.state.work import CORES_PER_UNIT, NOTHING, Resources
+from vanillawell.state.trial_placement import count_missing_machines
+from vanillawell.state.work import MILLICORES_PER_CORE, NO_RESOURCES, Resources
 
 if TYPE_CHECKING:
     from collections.abc import Collection, Mapping, Sequence
@@ -123,7 +123,7 @@
     def _open_steps(self) -> defaultdict[str, list[StepProgress]]:
         """Return the steps that may run now, by pool."""
         steps: defaultdict[str, list[StepProgress]] = defaultdict(list)
-        for step in self._shard.board.open_steps:
+        for step in self._shard.job_table.open_steps:
             queue = self._shard.queue_of(step.record.job)
             if queue is not None:
                 steps[queue.service].append(step)
@@ -137,28 +137,28 @@
         on_their_way: int,
         now: float,
     ) -> PoolDemand:
-        own = [item for item in members if now >= item.suspected_until]
+        own = [item for item in members if now >= item.placement_blocked_until]
         usable = [item for item in own if not item.facts.draining and not item.cordoned]
         size = self._size(pool)
         wanted = max(
             demanded_cores(own, steps, self._shard.durations),
-            self._shard.arrivals.cores(pool, now),
+            self._shard.arrivals.required_cores(pool, now),
         )
-        sound = [item for item in usable if item.is_sound(now)]
-        held = [step for step in steps if step.held_by == HELD_BY_ROOM]
+        sound = [item for item in usable if item.is_healthy(now)]
+        held = [step for step in steps if step.held_by == HELD_BY_CAPACITY]
         return PoolDemand(
             pool,
             len(usable) + on_their_way,
-            size.cpu / CORES_PER_UNIT,
+            size.cpu / MILLICORES_PER_CORE,
             wanted,
             lasting_floor(steps),
-            machines_lacking(sound, on_their_way, size, held),
+            count_missing_machines(sound, on_their_way, size, held),
         )
 
     def _size(self, pool: str) -> Resources:
         """Return what a machine of a pool offers; that of any pool if it never had one."""
         known = self._sizes.get(pool)
-        return known or max(self._sizes.values(), key=lambda size: size.cpu, default=NOTHING)
+        return known or max(self._sizes.values(), key=lambda size: size.cpu, default=NO_RESOURCES)
 
     def _on_their_way(self, pool: str, view: MachineView, now: float) -> int:
         """Return the machines of a pool of which no executor is registered yet."""
--- a/vanillawell/coordination/pool_runner.py
+++ b/vanillawell/coordination/pool_runner.py
@@ -172,7 +172,7 @@
         Machines of a zone in which no executor can be reached would come and be of no use.
         """
         zones = {executor.facts.zone for executor in lives.values()}
-        reached = {item.facts.zone for item in lives.values() if item.is_sound(now)}
+        reached = {item.facts.zone for item in lives.values() if item.is_healthy(now)}
         spare = [
             item
             for item in self._machines.values()
@@ -274,13 +274,13 @@
     def _end_life(self, executor: Executor) -> None:
         """Take in that a machine has changed its pool, which ends the executor on it at once."""
         facts = executor.facts
-        self._shard.dead(facts.executor, facts.incarnation, clock.read(), time.time())
+        self._shard.mark_terminated(facts.executor, facts.incarnation, clock.read(), time.time())
 
     def _idle(self, lives: dict[str, Executor], now: float) -> dict[str, list[str]]:
         """Return by pool the machines that could leave it now."""
         idle: defaultdict[str, list[str]] = defaultdict(list)
         for name, executor in lives.items():
-            if executor.runs or executor.unsaved_ends or not executor.takes_work(now):
+            if executor.runs or executor.unsaved_ends or not executor.accepts_tasks(now):
                 continue
             if self._orders.may_order(name, now) and not self._orders.is_claimed(name):
                 idle[executor.facts.service].append(name)
--- a/vanillawell/coordination/registry.py
+++ b/vanillawell/coordination/registry.py
@@ -77,7 +77,7 @@
 
     def _take_listing(self, listing: Listing) -> None:
         present = {item.key.removeprefix(self._prefix) for item in listing.items}
-        for name in self._shard.ledger.known_entries() - present:
+        for name in self._shard.ledger.tracked_registrations() - present:
             self._unregister(name)
         for item in listing.items:
             self._register(item.key, item.value)
@@ -102,7 +102,7 @@
         except ValueError as error:
             log.error("unreadable executor", extra={"key": key, "reason": str(error)})
             return False
-        if self._shard.ledger.is_over(facts):
+        if self._shard.ledger.is_terminated(facts):
             return False
         before = self._shard.ledger.executors.get(facts.executor)
         known = before is not None and before.registered
--- a/vanillawell/coordination/run_orders.py
+++ b/vanillawell/coordination/run_orders.py
@@ -26,7 +26,7 @@
 
     from vanillawell.coordination.executor_link import ExecutorLink
     from vanillawell.protocol.executor_calls import Target
-    from vanillawell.state.outbox import StrayStop
+    from vanillawell.state.outbox import OrphanedRun
     from vanillawell.state.work import Run, TaskId
 
 log = logging.getLogger(__name__)
@@ -74,8 +74,8 @@
         async with self._slots:
             now = clock.read()
             stale = now - stored_at > START_FRESHNESS and not self._link.term.is_held(now)
-            if run.stop_wanted or stale or not self._link.knows_clock:
-                self._never_began(run, "stopped before" if run.stop_wanted else "stale")
+            if run.stop_requested or stale or not self._link.knows_clock:
+                self._never_began(run, "stopped before" if run.stop_requested else "stale")
                 return
             if not self._link.may_extend_lease():
                 self._never_began(run, "lease not extended")
@@ -94,14 +94,14 @@
             task.checkpoint,
             run.ticket,
         )
-        run.enter(RunPhase.ORDERED, now)
+        run.enter_phase(RunPhase.ORDERED, now)
         self._notify()
         target = self._link.target()
         try:
             value = await self._link.calls.start(target, order, self._link.term.token)
         except NotSentError as error:
             self._link.take_back(extension)
-            self._link.suspect()
+            self._link.block_placement()
             self._never_began(run, str(error))
         except NoAnswerError as error:
             self._link.suspect_if_silent(now)
@@ -120,7 +120,7 @@
         now = clock.read()
         self._link.answered(target.incarnation, value, sent, now)
         if run.phase is RunPhase.ORDERED:
-            run.enter(RunPhase.RUNNING, now)
+            run.enter_phase(RunPhase.RUNNING, now)
         if run.started is None:
             run.started = now
         log.debug("run confirmed", extra=self._link.describe(run))
@@ -139,20 +139,20 @@
             key = (task_id.job_id, task_id.occurrence, task_id.step)
             self._link.shard.tickets.pop(key, None)
         else:
-            self._link.suspect()
+            self._link.block_placement()
         self._never_began(run, error.reason.value)
 
     async def _settle_uncertain(self, run: Run, reason: str) -> None:
         """See whether an order without an answer was carried out; if not, rule it out."""
         if run.phase is not RunPhase.ORDERED:
             return
-        run.enter(RunPhase.UNCERTAIN, clock.read())
+        run.enter_phase(RunPhase.UNCERTAIN, clock.read())
         log.warning("start unanswered", extra={**self._link.describe(run), "reason": reason})
         await self._look_again()
 
     def _never_began(self, run: Run, reason: str) -> None:
         log.info("run never began", extra={**self._link.describe(run), "reason": reason})
-        self._link.shard.never_began(run, clock.read(), self._link.wall())
+        self._link.shard.mark_not_started(run, clock.read(), self._link.wall())
 
     def stop(self, run: Run) -> None:
         """Stop a run, trying until the executor has confirmed it or the run is over."""
@@ -188,11 +188,11 @@
                 return
             await anyio.sleep(RETRY_PAUSE)
 
-    def stop_stray(self, stray: StrayStop) -> None:
+    def stop_orphan(self, stray: OrphanedRun) -> None:
         """Stop a run that no task wants."""
-        self._tasks.start_soon(self._stop_stray, stray)
+        self._tasks.start_soon(self._stop_orphan, stray)
 
-    async def _stop_stray(self, stray: StrayStop) -> None:
+    async def _stop_orphan(self, stray: OrphanedRun) -> None:
         fields = {"job": stray.task_id.job_id, "task": stray.task_id[1:], "run": stray.run}
         log.warning("stray run", extra={**fields, "executor": stray.executor})
         await self._stop_once(stray.task_id, stray.run)
--- a/vanillawell/coordination/shard_owner.py
+++ b/vanillawell/coordination/shard_owner.py
@@ -215,7 +215,7 @@
                 log.warning("shard not loaded", extra={"why": str(error)})
                 await backoff.wait()
         self._restore(orders, records)
-        if self._shard.lacks_rules():
+        if self._shard.lacks_queue_rules():
             await self._recall_queues()
 
     async def _recall_queues(self) -> None:
@@ -237,7 +237,7 @@
             log.error("rules of queues unreadable", extra={"why": str(error)})
             return
         log.info("rules of queues recalled", extra={"queues": len(queues)})
-        self._shard.recall_queues(queues)
+        self._shard.restore_queue_rules(queues)
 
     def _restore(self, orders: Listing, records: Listing) -> None:
         now = clock.read()
@@ -256,7 +256,7 @@
             recalled += len(runs)
             bound = functools.partial(self._leases.recalled_bound, now=now)
             self._shard.restore(record, runs, bound)
-        jobs = len(self._shard.board.jobs)
+        jobs = len(self._shard.job_table.jobs)
         fields = {"shard": self._name, "token": self._term.token}
         log.info("shard loaded", extra={**fields, "jobs": jobs, "runs": recalled})
 
@@ -287,7 +287,7 @@
             decided = clock.read()
             await self._store_turn()
             self._log_if_slow(now, decided)
-            if not self._shard.board.changed and not self._news.is_set():
+            if not self._shard.job_table.changed and not self._news.is_set():
                 with anyio.move_on_after(self._pause()):
                     await self._news.wait()
             self._news = anyio.Event()
@@ -298,10 +298,10 @@
         if ended - began < SLOW_TURN:
             return
         figures = {"decided": round(decided - began, 3), "stored": round(ended - decided, 3)}
-        log.warning("turn slow", extra={**figures, "jobs": len(self._shard.board.jobs)})
+        log.warning("turn slow", extra={**figures, "jobs": len(self._shard.job_table.jobs)})
 
     def _pause(self) -> float:
-        due = self._shard.board.next_due()
+        due = self._shard.job_table.next_due()
         if due is None:
             return QUIET_TURN
         return min(QUIET_TURN, max(0.001, due - time.time()))
@@ -339,7 +339,7 @@
     async def _store_turn(self) -> None:
         """Store what changed, then let the starts and the confirmed ends of it go out."""
         batch = TurnBatch.collect(self._shard, self._keys, time.time())
-        pending = self._shard.board.pending() if self._inbox.is_read else self._published
+        pending = self._shard.job_table.pending() if self._inbox.is_read else self._published
         queues = self._shard.queues_in_use()
         due = not batch.is_empty or pending != self._published or queues != self._stored_queues
         executors = self._shard.ledger.executors.values()
@@ -362,7 +362,7 @@
     def _submit(self, run: Run, stored_at: float) -> None:
         driver = self._drivers.get(run.executor)
         if driver is None:
-            self._shard.never_began(run, clock.read(), time.time())
+            self._shard.mark_not_started(run, clock.read(), time.time())
         else:
             driver.orders.submit(run, stored_at)
 
--- a/vanillawell/coordination/stop_sender.py
+++ b/vanillawell/coordination/stop_sender.py
@@ -18,7 +18,7 @@
 
     from vanillawell.coordination.executor_driver import ExecutorDriver
     from vanillawell.coordination.term import Term
-    from vanillawell.state.outbox import StrayStop
+    from vanillawell.state.outbox import OrphanedRun
     from vanillawell.state.shard import Shard
     from vanillawell.state.work import Run
 
@@ -70,9 +70,9 @@
             else:
                 self._drivers[run.executor].orders.stop(run)
         self._tell({name: reason for name, reason in waiting.items() if reason})
-        strays, outbox.stray_stops = outbox.stray_stops, []
-        for stray in strays:
-            self._stop_stray(stray)
+        orphans, outbox.orphan_stops = outbox.orphan_stops, []
+        for stray in orphans:
+            self._stop_orphan(stray)
 
     def _is_charged(self, run: Run) -> bool:
         executor = self._shard.ledger.executors.get(run.executor)
@@ -97,11 +97,11 @@
                 log.warning("stops wait", extra={"executor": name, "reason": reason})
         self._told = waiting
 
-    def _stop_stray(self, stray: StrayStop) -> None:
+    def _stop_orphan(self, stray: OrphanedRun) -> None:
         """Stop what no task wants; each report that lists it asks for that again."""
         driver = self._drivers.get(stray.executor)
         if driver is not None:
-            driver.orders.stop_stray(stray)
+            driver.orders.stop_orphan(stray)
             return
         fields = {"job": stray.task_id.job_id, "task": stray.task_id[1:], "run": stray.run}
         log.warning("stray run left", extra={**fields, "executor": stray.executor})
--- a/vanillawell/coordination/turn_batch.py
+++ b/vanillawell/coordination/turn_batch.py
@@ -13,7 +13,7 @@
     from collections.abc import Iterable, Iterator
 
     from vanillawell.protocol.work_documents import WorkKeys
-    from vanillawell.state.outbox import SavedEnd
+    from vanillawell.state.outbox import EndConfirmation
     from vanillawell.state.shard import Shard
     from vanillawell.state.work import Run
 
@@ -32,7 +32,7 @@
     puts: list[Put] = field(default_factory=list)
     deletes: list[str] = field(default_factory=list)
     planned: list[Run] = field(default_factory=list)
-    ends: list[SavedEnd] = field(default_factory=list)
+    ends: list[EndConfirmation] = field(default_factory=list)
 
 
 @dataclass(slots=True)
@@ -42,33 +42,36 @@
     records: dict[str, bytes]
     """Record by job id."""
 
-    taken: dict[str, set[str]]
+    accepted_requests: dict[str, set[str]]
     """Keys of the inbox by the job that they concern: what the record now holds."""
 
     deletes: list[str]
     planned: list[Run]
-    ends: list[SavedEnd]
+    ends: list[EndConfirmation]
     keys: WorkKeys
 
     @classmethod
     def collect(cls, shard: Shard, keys: WorkKeys, wall: float) -> TurnBatch:
         """Take everything out of the shard's outbox."""
-        changed, shard.board.changed = shard.board.changed, {}
+        changed, shard.job_table.changed = shard.job_table.changed, {}
         outbox = shard.outbox
         planned, outbox.planned = outbox.planned, []
         ends, outbox.ends = outbox.ends, []
         deletes: list[str] = []
-        for record in list(shard.board.forgettable(wall)):
+        for record in list(shard.job_table.forgettable(wall)):
             job_id = record.job.job_id
-            shard.board.forget(job_id)
+            shard.job_table.forget(job_id)
             changed.pop(job_id, None)
             deletes.extend((keys.order(job_id), keys.record(job_id)))
-        taken, outbox.taken = outbox.taken, {}
+        accepted_requests, outbox.accepted_requests = outbox.accepted_requests, {}
         deletes.extend(
-            key for job_id, found in taken.items() if job_id not in changed for key in found
+            key
+            for job_id, found in accepted_requests.items()
+            if job_id not in changed
+            for key in found
         )
         records = {job_id: write_record(record) for job_id, record in changed.items()}
-        return cls(records, taken, deletes, planned, ends, keys)
+        return cls(records, accepted_requests, deletes, planned, ends, keys)
 
     @property
     def is_empty(self) -> bool:
@@ -94,7 +97,7 @@
         chunk: list[str] = []
         size = 0
         for job_id in self.records:
-            entries = 1 + len(self.taken.get(job_id, ()))
+            entries = 1 + len(self.accepted_requests.get(job_id, ()))
             if size + entries > ENTRIES_AT_ONCE:
                 yield chunk
                 chunk, size = [], 0
@@ -104,7 +107,7 @@
             yield chunk
 
     def _records_part(self, job_ids: list[str]) -> TurnPart:
-        deletes = [key for job_id in job_ids for key in self.taken.get(job_id, ())]
+        deletes = [key for job_id in job_ids for key in self.accepted_requests.get(job_id, ())]
         puts = [Put(self.keys.record(job_id), self.records[job_id]) for job_id in job_ids]
         chosen = set(job_ids)
         planned = [run for run in self.planned if run.task.task_id.job_id in chosen]
--- a/vanillawell/coordination/turn_log.py
+++ b/vanillawell/coordination/turn_log.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from vanillawell.state.outbox import DoneTask
+    from vanillawell.state.outbox import CompletedTask
     from vanillawell.state.work import Run
 
 log = logging.getLogger(__name__)
@@ -26,7 +26,7 @@
     _tell("tasks started", [[*run.task.task_id, run.number, run.executor] for run in runs], token)
 
 
-def tell_done(tasks: Sequence[DoneTask], token: int) -> None:
+def tell_done(tasks: Sequence[CompletedTask], token: int) -> None:
     """Tell which tasks are done; rows hold the id, run, executor and seconds from its start."""
     _tell("tasks done", [[*item.task_id, *item[1:]] for item in tasks], token)
 
--- a/vanillawell/coordination/upkeep_orders.py
+++ b/vanillawell/coordination/upkeep_orders.py
@@ -65,12 +65,12 @@
     def reserve(self, machine: str) -> None:
         """Keep a machine whose upkeep was decided from all other use until it is settled."""
         self._orders.claim(machine, Purpose.UPKEEP)
-        self._shard.ledger.close_machine(machine)
+        self._shard.ledger.cordon_machine(machine)
 
     def _settle(self, machine: str) -> None:
         """Let a machine be used again, since its order was answered."""
         self._orders.release(machine, Purpose.UPKEEP)
-        self._shard.ledger.open_machine(machine)
+        self._shard.ledger.uncordon_machine(machine)
 
     async def begin(self, progress: WaveProgress, machines: Iterable[str]) -> None:
         """Decide on the upkeep of machines, store that, and order it for all of them at once."""
@@ -139,7 +139,9 @@
         progress.closed.pop(name, None)
         if executor is not None and progress.away.get(name) == life_of(executor):
             facts = executor.facts
-            self._shard.dead(facts.executor, facts.incarnation, clock.read(), time.time())
+            self._shard.mark_terminated(
+                facts.executor, facts.incarnation, clock.read(), time.time()
+            )
         self._settle(name)
         self._wake()
 
--- a/vanillawell/coordination/upkeep_runner.py
+++ b/vanillawell/coordination/upkeep_runner.py
@@ -236,9 +236,9 @@
         self, progress: WaveProgress, executor: Executor, since: float, now: float
     ) -> None:
         impatient = progress.hurried(now) or now > since + PATIENCE
-        runs = to_stop(executor, lambda run: impatient or self._shard.has_place(run, now))
+        runs = to_stop(executor, lambda run: impatient or self._shard.can_place_elsewhere(run, now))
         for run in runs:
-            self._shard.want_stop(run)
+            self._shard.request_stop(run)
         if runs:
             self._wake()
 
--- a/vanillawell/protocol/work_documents.py
+++ b/vanillawell/protocol/work_documents.py
@@ -306,4 +306,4 @@
 
 def _read_place(task: Task, where: list[Any], now: float) -> Run:
     executor, incarnation, number = where
-    return Run(task, number, executor, incarnation, RunPhase.RECALLED, now)
+    return Run(task, number, executor, incarnation, RunPhase.INHERITED, now)
--- a/vanillawell/state/arrivals.py
+++ b/vanillawell/state/arrivals.py
@@ -11,10 +11,10 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from vanillawell.state.work import CORES_PER_UNIT
+from vanillawell.state.work import MILLICORES_PER_CORE
 
 if TYPE_CHECKING:
-    from vanillawell.state.durations import DurationBook
+    from vanillawell.state.durations import DurationStatistics
     from vanillawell.state.work import Job
 
 ARRIVAL_WINDOW = 0.7
@@ -80,10 +80,10 @@
     _arrivals: dict[str, deque[Arrival]] = field(default_factory=dict)
     _work: dict[str, MeanWork] = field(default_factory=dict)
 
-    def note(self, service: str, job: Job, durations: DurationBook, now: float) -> None:
+    def note(self, service: str, job: Job, durations: DurationStatistics, now: float) -> None:
         """Take in an accepted job."""
         steps = [step for step in job.steps if not step.long_running]
-        sizes = [step.count * step.reserved.cpu / CORES_PER_UNIT for step in steps]
+        sizes = [step.count * step.reserved.cpu / MILLICORES_PER_CORE for step in steps]
         work = sum(
             size * durations.expected(job.queue, step)
             for size, step in zip(sizes, steps, strict=True)
@@ -93,7 +93,7 @@
         self._arrivals.setdefault(service, deque()).append(Arrival(now, work, max(sizes)))
         self._work.setdefault(service, MeanWork()).add(work)
 
-    def cores(self, service: str, now: float) -> float:
+    def required_cores(self, service: str, now: float) -> float:
         """Return the cores that keep up with what will arrive by the time that a machine can come.
 
         Jobs are counted and taken for as large as those of the service are on average: sizes are
--- a/vanillawell/state/availability.py
+++ b/vanillawell/state/availability.py
@@ -22,7 +22,7 @@
 
 def is_working(run: Run) -> bool:
     """Tell whether a long-running task is at work, as last reported, and may go on."""
-    return run.at_work and not run.stop_wanted
+    return run.is_available and not run.stop_requested
 
 
 def may_take_away(run: Run) -> bool:
@@ -62,4 +62,4 @@
     which one may be away would end together. A report tells what is at work after all.
     """
     for run in executor.runs.values():
-        run.at_work = False
+        run.is_available = False
--- a/vanillawell/state/copies.py
+++ b/vanillawell/state/copies.py
@@ -27,7 +27,7 @@
     silent = (
         item
         for item in executors
-        if item.silent_since is not None and now >= item.silent_since + COPIED_AFTER
+        if item.unresponsive_since is not None and now >= item.unresponsive_since + COPIED_AFTER
     )
     runs = itertools.chain.from_iterable(item.runs.values() for item in silent)
     return [run for run in runs if _may_copy(run)]
@@ -36,7 +36,7 @@
 def _may_copy(run: Run) -> bool:
     task, spec = run.task, run.task.step.spec
     allowed = spec.speculative and not spec.gang and not spec.long_running
-    open_still = not task.done and not task.step.record.state.final and not run.stop_wanted
+    open_still = not task.done and not task.step.record.state.final and not run.stop_requested
     return allowed and open_still and task.run is run and not task.older and _is_out(run)
 
 
--- a/vanillawell/state/draining.py
+++ b/vanillawell/state/draining.py
@@ -34,13 +34,13 @@
 
 def leaving(executors: Iterable[Executor]) -> list[Executor]:
     """Return the executors that said that they end, in the same order for each owner."""
-    found = [item for item in executors if item.registered and item.leaves_after is not None]
+    found = [item for item in executors if item.registered and item.earliest_departure is not None]
     return sorted(found, key=lambda item: item.name)
 
 
 def time_left(executor: Executor, now: float) -> float:
     """Return the least seconds for which an executor that leaves goes on."""
-    return max(0.0, (executor.leaves_after or 0.0) - now)
+    return max(0.0, (executor.earliest_departure or 0.0) - now)
 
 
 def leaves_soon(executor: Executor, kill_grace: float, now: float) -> bool:
@@ -59,10 +59,16 @@
     Progress is told in whole per cent, so a task may have come one further than it seems. What it
     had done when it was first reported may be the work of earlier runs, or of a former term.
     """
-    if run.reported is None or run.progressed is None or run.progressed <= run.reported:
+    if (
+        run.first_reported_at is None
+        or run.progressed_at is None
+        or run.progressed_at <= run.first_reported_at
+    ):
         return 0.0
-    most_a_second = (run.percent - run.percent_at_first + 1) / (run.progressed - run.reported)
-    return (COMPLETE - run.percent) / most_a_second - (now - run.progressed)
+    most_a_second = (run.percent - run.first_reported_percent + 1) / (
+        run.progressed_at - run.first_reported_at
+    )
+    return (COMPLETE - run.percent) / most_a_second - (now - run.progressed_at)
 
 
 def _outlasts(run: Run, executor: Executor, now: float) -> bool:
@@ -74,11 +80,11 @@
 
 
 def to_move(
-    executor: Executor, has_place: Callable[[Run], bool], kill_grace: float, now: float
+    executor: Executor, can_place_elsewhere: Callable[[Run], bool], kill_grace: float, now: float
 ) -> list[Run]:
     """Return the runs on an executor that leaves that have to be stopped now."""
     if not leaves_soon(executor, kill_grace, now):
-        return to_stop(executor, has_place)
+        return to_stop(executor, can_place_elsewhere)
     lost = lasting_runs(executor)
     lost += [run for run in executor.runs.values() if _outlasts(run, executor, now)]
-    return [run for run in lost if not run.stop_wanted]
+    return [run for run in lost if not run.stop_requested]
--- a/vanillawell/state/durations.py
+++ b/vanillawell/state/durations.py
@@ -14,7 +14,7 @@
 """Weight of a new measurement in the moving mean once ten were taken."""
 
 
-class DurationBook:
+class DurationStatistics:
     """Hold the mean run time of tasks by queue and image."""
 
     def __init__(self) -> None:
@@ -32,11 +32,13 @@
         count, mean = self._means.get((queue, step.image), (0, 0.0))
         return mean if count >= ENOUGH else step.estimate
 
-    def chains(self, job: Job) -> tuple[float, ...]:
+    def critical_paths(self, job: Job) -> tuple[float, ...]:
         """Return for each step the seconds of the longest chain that begins with it."""
-        chains = [self.expected(job.queue, step) for step in job.steps]
+        critical_paths = [self.expected(job.queue, step) for step in job.steps]
         for position in range(len(job.steps) - 1, -1, -1):
             for earlier in job.steps[position].after:
                 own = self.expected(job.queue, job.steps[earlier])
-                chains[earlier] = max(chains[earlier], own + chains[position])
-        return tuple(chains)
+                critical_paths[earlier] = max(
+                    critical_paths[earlier], own + critical_paths[position]
+                )
+        return tuple(critical_paths)
--- a/vanillawell/state/executors.py
+++ b/vanillawell/state/executors.py
@@ -5,12 +5,12 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from vanillawell.state.work import NOTHING, Ending, Resources, Run, TaskId
+from vanillawell.state.work import NO_RESOURCES, Ending, Resources, Run, TaskId
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
 
-SUSPICION = 1.0
+UNREACHABLE_BLOCK_TIME = 1.0
 """Seconds for which an executor that could not be reached gets no new work."""
 
 FAILURES_IN_A_ROW = 5
@@ -21,13 +21,13 @@
 JOBS_IN_DOUBT = 2
 """Different jobs that these failures must come from: otherwise the fault is the job's."""
 
-ENTRY_AGE = 1.5
+MAX_REGISTRATION_AGE = 1.5
 """Seconds after which executors write their entries anew at the latest."""
 
 QUARANTINED_PART = 0.5
 """Part of a pool that may be in quarantine at a time."""
 
-QUARANTINE = 4.0
+QUARANTINE_TIME = 4.0
 """Seconds for which a doubtful executor gets no new work; then it is tried again."""
 
 
@@ -58,7 +58,7 @@
     """One life of an executor, and what it is charged with."""
 
     facts: ExecutorFacts
-    known_since: float
+    tracked_since: float
     """Clock of decisions at which this process first heard of its present life."""
 
     registered: bool = True
@@ -66,29 +66,29 @@
     """Whether it has reported since this process became its owner."""
 
     runs: dict[tuple[TaskId, int], Run] = field(default_factory=dict)
-    used: Resources = NOTHING
+    used: Resources = NO_RESOURCES
     seen_end: int = 0
     """Highest number of an end that was taken in from its reports."""
 
     unsaved_ends: set[int] = field(default_factory=set)
     """Numbers of ends whose effect is not stored yet."""
 
-    lease_over: float = 0.0
+    lease_expires_at: float = 0.0
     """Clock of decisions at which everything on it is surely dead unless renewed."""
 
-    began_at: float = 0.0
+    restarted_at: float = 0.0
     """Clock of decisions at which a new life under the same id was noticed; 0 for the first."""
 
-    silent_since: float | None = None
+    unresponsive_since: float | None = None
     """Clock of decisions since which it has answered nothing; None while it answers."""
 
-    leaves_after: float | None = None
+    earliest_departure: float | None = None
     """Clock of decisions up to which it said that it goes on; None while it does not leave."""
 
-    told_at: float = 0.0
+    departure_reported_at: float = 0.0
     """Clock of decisions at which it was read last for how long it goes on."""
 
-    suspected_until: float = 0.0
+    placement_blocked_until: float = 0.0
     quarantined_until: float = 0.0
     """Clock of decisions up to which it gets no work for what it failed."""
 
@@ -98,7 +98,7 @@
     withheld: bool = False
     """Whether an order of a former owner for its machine may end it yet, or may have ended it."""
 
-    asked_from: float | None = None
+    order_void_since: float | None = None
     """Clock of decisions since which that order can't take effect any more: an answer to a later
     call shows that it lives on. None while the order may."""
 
@@ -114,12 +114,12 @@
         return self.facts.executor
 
     @property
-    def is_out_of_touch(self) -> bool:
+    def is_unconfirmed(self) -> bool:
         """Tell whether nobody can say what runs on it now."""
-        return not self.contacted or self.silent_since is not None
+        return not self.contacted or self.unresponsive_since is not None
 
     @property
-    def is_emptied(self) -> bool:
+    def must_drain(self) -> bool:
         """Tell whether what lasts here has to go elsewhere, since it leaves or is closed."""
         return self.cordoned or (self.registered and self.facts.draining)
 
@@ -133,7 +133,7 @@
         """Return the highest number up to which all ends are stored."""
         return min(self.unsaved_ends) - 1 if self.unsaved_ends else self.seen_end
 
-    def begin_life(self, now: float) -> None:
+    def begin_incarnation(self, now: float) -> None:
         """Note that it has started again under its id.
 
         It holds and knows nothing of before, so only its next report tells which runs it has:
@@ -143,52 +143,52 @@
         self.seen_end = 0
         self.unsaved_ends.clear()
         self.failures.clear()
-        self.leaves_after = None
-        self.began_at = now
-        self.known_since = now
+        self.earliest_departure = None
+        self.restarted_at = now
+        self.tracked_since = now
 
-    def is_of_former_life(self, incarnation: int, sent: float) -> bool:
+    def is_from_earlier_incarnation(self, incarnation: int, sent: float) -> bool:
         """Tell whether an answer to a call that was sent at `sent` is of a life that is over.
 
         One that answers a later call is believed: then the entry that told of a new life was wrong.
         """
-        return incarnation < self.facts.incarnation and sent < self.began_at
+        return incarnation < self.facts.incarnation and sent < self.restarted_at
 
-    def take_facts(self, facts: ExecutorFacts, now: float) -> None:
+    def update_facts(self, facts: ExecutorFacts, now: float) -> None:
         """Take in what it says of itself.
 
         The same time left as before is the same entry, read again. An entry that is read for the
         first time, as after a change of owner, may have stood for as long as entries do.
         """
-        same = self.leaves_after is not None and facts.remaining == self.facts.remaining
+        same = self.earliest_departure is not None and facts.remaining == self.facts.remaining
         if not facts.draining:
-            self.leaves_after = None
+            self.earliest_departure = None
         elif not same:
-            age = 0.0 if self.registered else ENTRY_AGE
-            self.leaves_after = now - age + (facts.remaining or 0.0)
-            self.told_at = now
+            age = 0.0 if self.registered else MAX_REGISTRATION_AGE
+            self.earliest_departure = now - age + (facts.remaining or 0.0)
+            self.departure_reported_at = now
         self.facts = facts
         self.registered = True
 
-    def note_answer(self, sent: float) -> None:
+    def record_answer(self, sent: float) -> None:
         """Take in that it answered a call that was sent at `sent`."""
         self.contacted = True
-        if self.asked_from is not None and sent >= self.asked_from:
-            self.withheld, self.asked_from = False, None
+        if self.order_void_since is not None and sent >= self.order_void_since:
+            self.withheld, self.order_void_since = False, None
 
-    def takes_work(self, now: float) -> bool:
+    def accepts_tasks(self, now: float) -> bool:
         """Tell whether new tasks may be placed here."""
-        return self.is_sound(now) and not self.withheld
+        return self.is_healthy(now) and not self.withheld
 
-    def is_sound(self, now: float) -> bool:
+    def is_healthy(self, now: float) -> bool:
         """Tell whether it takes new tasks, or will once it is no longer withheld."""
         return (
             self.registered
             and self.contacted
             and not self.facts.draining
             and not self.cordoned
-            and self.silent_since is None
-            and now >= self.suspected_until
+            and self.unresponsive_since is None
+            and now >= self.placement_blocked_until
         )
 
     def charge(self, run: Run) -> None:
@@ -201,18 +201,18 @@
         del self.runs[run.task.task_id, run.number]
         self.used -= run.reserved
 
-    def suspect(self, until: float) -> None:
+    def block_placement(self, until: float) -> None:
         """Keep new work away until a moment."""
-        self.suspected_until = max(self.suspected_until, until)
+        self.placement_blocked_until = max(self.placement_blocked_until, until)
 
-    def fall_silent(self) -> None:
+    def mark_unresponsive(self) -> None:
         """Take in that it answers nothing: what it was last seen to do, it may do no more.
 
         Its runs stay charged until their lease is over, which can take seconds; but planned work
         must not rely on them meanwhile. Its next report tells which of them are at work.
         """
         for run in self.runs.values():
-            run.at_work = False
+            run.is_available = False
 
     def judge(self, run: Run, ending: Ending) -> bool:
         """Learn from how a run ended; True if the executor's soundness is in doubt by now.
@@ -232,8 +232,8 @@
 
     def quarantine(self, now: float) -> None:
         """Keep new work away for a while, since it fails what it starts."""
-        self.quarantined_until = now + QUARANTINE
-        self.suspect(self.quarantined_until)
+        self.quarantined_until = now + QUARANTINE_TIME
+        self.block_placement(self.quarantined_until)
 
 
 def may_quarantine(pool: Sequence[Executor], now: float) -> bool:
--- a/vanillawell/state/job_board.py
+++ b/vanillawell/state/job_table.py
@@ -13,7 +13,7 @@
 """Seconds that a final job is kept beyond the time for which its state must be told."""
 
 
-class JobBoard:
+class JobTable:
     """Own all jobs of a shard."""
 
     def __init__(self, attempts: Callable[[str], int], kept: float) -> None:
--- a/vanillawell/state/ledger.py
+++ b/vanillawell/state/ledger.py
@@ -16,13 +16,13 @@
 from typing import TYPE_CHECKING
 
 from vanillawell.state.executors import (
-    QUARANTINE,
+    QUARANTINE_TIME,
     Executor,
     ExecutorFacts,
     by_service,
     may_quarantine,
 )
-from vanillawell.state.work import NOTHING, Ending, Resources, Run, RunPhase, Task, TaskId
+from vanillawell.state.work import NO_RESOURCES, Ending, Resources, Run, RunPhase, Task, TaskId
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterator, Mapping
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class EndedRun:
     """One run that is over."""
 
     run: Run
@@ -42,13 +42,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RecalledBound:
+class InheritedLeaseBound:
     """What is known of an executor from former terms, on the clock of decisions."""
 
-    lease_over: float
+    lease_expires_at: float
     """When all leases there are surely over, unless they are extended."""
 
-    known_since: float
+    tracked_since: float
     machine: str = ""
     """Where its latest known life is; empty if that is not known."""
 
@@ -60,11 +60,11 @@
 class ReportOutcome:
     """What a report changed."""
 
-    ended: list[Ended] = field(default_factory=list)
+    ended: list[EndedRun] = field(default_factory=list)
     late_ends: list[EndRow] = field(default_factory=list)
     """Ends of runs that are not the present run of their task."""
 
-    strays: list[RunningRow] = field(default_factory=list)
+    orphans: list[RunningRow] = field(default_factory=list)
     """Runs that nobody wants and that have to be stopped."""
 
     recheck: list[Run] = field(default_factory=list)
@@ -87,13 +87,13 @@
         """Machines that a former owner's order may take away yet, each with the pool that it goes
         to; empty if it does not change its pool."""
 
-    def close_machine(self, machine: str) -> None:
+    def cordon_machine(self, machine: str) -> None:
         """Let nothing start on a machine, not even on an executor that is yet to register there."""
         self._closed.add(machine)
         for executor in self._on_machine(machine):
             executor.cordoned = True
 
-    def open_machine(self, machine: str) -> None:
+    def uncordon_machine(self, machine: str) -> None:
         """Let a machine take work again."""
         self._closed.discard(machine)
         for executor in self._on_machine(machine):
@@ -109,18 +109,18 @@
         for executor in self.executors.values():
             self._withhold_if_ordered(executor)
 
-    def let_go(self, machine: str, now: float) -> None:
+    def release_machine(self, machine: str, now: float) -> None:
         """Let new tasks start on a machine again once its executor has answered a later call."""
         self._withheld.pop(machine, None)
         for executor in self._on_machine(machine):
             if executor.withheld:
-                executor.asked_from = now
+                executor.order_void_since = now
 
     def _withhold_if_ordered(self, executor: Executor) -> None:
         pool = self._withheld.get(executor.facts.machine)
         if pool is not None and executor.facts.service != pool:
             executor.withheld = True
-        elif executor.asked_from is None:
+        elif executor.order_void_since is None:
             executor.withheld = False
 
     def _on_machine(self, machine: str) -> list[Executor]:
@@ -142,23 +142,23 @@
         ordered = sorted(registered, key=lambda item: item.facts.incarnation)
         return {item.facts.machine: item for item in ordered}
 
-    def is_over(self, facts: ExecutorFacts) -> bool:
+    def is_terminated(self, facts: ExecutorFacts) -> bool:
         """Tell whether the life that an entry speaks of is known to be over."""
         return facts.incarnation == self._over.get(facts.executor)
 
-    def known_entries(self) -> set[str]:
+    def tracked_registrations(self) -> set[str]:
         """Return the executors whose entry in the registry stands as far as known."""
         registered = {name for name, item in self.executors.items() if item.registered}
         return registered | self._over.keys()
 
-    def register(self, facts: ExecutorFacts, now: float) -> list[Ended]:
+    def register(self, facts: ExecutorFacts, now: float) -> list[EndedRun]:
         """Take in what an executor says of itself in the registry.
 
         A machine carries one executor at a time. So the runs of an earlier one on the same machine
         are over; they are returned. The entry of a life that is known to be over stands for some
         seconds more, and may be read again; what it names would look idle and sound.
         """
-        if self.is_over(facts):
+        if self.is_terminated(facts):
             return []
         known = self.executors.get(facts.executor)
         if known is not None:
@@ -166,7 +166,7 @@
             self._withhold_if_ordered(known)
             return []
         executor = Executor(facts, now, registered=False)
-        executor.take_facts(facts, now)
+        executor.update_facts(facts, now)
         executor.cordoned = facts.machine in self._closed
         self._withhold_if_ordered(executor)
         self.executors[facts.executor] = executor
@@ -177,21 +177,25 @@
             for item in self.executors.values()
             if item.facts.machine == facts.machine and item.facts.incarnation < facts.incarnation
         ]
-        return [ended for item in former for ended in self.dead(item.name, item.facts.incarnation)]
+        return [
+            ended
+            for item in former
+            for ended in self.mark_terminated(item.name, item.facts.incarnation)
+        ]
 
     @staticmethod
     def _renew(known: Executor, facts: ExecutorFacts, now: float) -> None:
         if facts.incarnation < known.facts.incarnation:
             return
         if facts.incarnation > known.facts.incarnation:
-            known.begin_life(now)
-        known.take_facts(facts, now)
+            known.begin_incarnation(now)
+        known.update_facts(facts, now)
 
-    def _abandon(self, executor: Executor) -> list[Ended]:
+    def _abandon(self, executor: Executor) -> list[EndedRun]:
         runs = list(executor.runs.values())
         for run in runs:
             self._discharge(executor, run)
-        return [Ended(run, Ending.LOST) for run in runs]
+        return [EndedRun(run, Ending.LOST) for run in runs]
 
     def unregister(self, name: str) -> None:
         """Give an executor no new work; what it runs stays charged."""
@@ -202,7 +206,7 @@
         executor.registered = False
         self._forget_if_empty(executor)
 
-    def dead(self, name: str, incarnation: int) -> list[Ended]:
+    def mark_terminated(self, name: str, incarnation: int) -> list[EndedRun]:
         """Take in the proof that a life of an executor is over."""
         self._over[name] = max(incarnation, self._over.get(name, incarnation))
         executor = self.executors.get(name)
@@ -263,7 +267,7 @@
         self._forget_if_empty(executor)
         return True
 
-    def recall(self, task: Task, run: Run, bound: RecalledBound) -> None:
+    def recall(self, task: Task, run: Run, bound: InheritedLeaseBound) -> None:
         """Charge a run that the store tells of, until its executor says what became of it.
 
         The entry of the executor may be gone by now. Where it lived still counts: the next executor
@@ -273,23 +277,23 @@
         executor = self.executors.get(run.executor)
         if executor is None:
             facts = _recalled_facts(run.executor, bound.life, bound.machine)
-            executor = Executor(facts, bound.known_since, registered=False)
+            executor = Executor(facts, bound.tracked_since, registered=False)
             self.executors[run.executor] = executor
         if run.incarnation > executor.facts.incarnation:
             executor.facts = _recalled_facts(run.executor, run.incarnation, "")
-        executor.lease_over = max(executor.lease_over, bound.lease_over)
+        executor.lease_expires_at = max(executor.lease_expires_at, bound.lease_expires_at)
         self.charge(executor, run)
 
-    def expire(self, now: float) -> list[Ended]:
+    def expire(self, now: float) -> list[EndedRun]:
         """Close the runs on executors whose lease has surely expired."""
-        found: list[Ended] = []
+        found: list[EndedRun] = []
         for executor in list(self.executors.values()):
-            if not executor.runs or now < executor.lease_over:
+            if not executor.runs or now < executor.lease_expires_at:
                 continue
             gone = [run for run in executor.runs.values() if run.phase is not RunPhase.PLANNED]
             for run in gone:
                 self._discharge(executor, run)
-                found.append(Ended(run, Ending.LAPSED))
+                found.append(EndedRun(run, Ending.LEASE_EXPIRED))
             self._forget_if_empty(executor)
         return found
 
@@ -303,12 +307,12 @@
     ) -> ReportOutcome:
         """Take in what an executor reported on a call that was sent at `sent`."""
         outcome = ReportOutcome()
-        if executor.is_of_former_life(report.incarnation, sent):
+        if executor.is_from_earlier_incarnation(report.incarnation, sent):
             return outcome
         if report.incarnation != executor.facts.incarnation:
             executor.facts = replace(executor.facts, incarnation=report.incarnation)
-            executor.begin_life(now)
-        executor.note_answer(sent)
+            executor.begin_incarnation(now)
+        executor.record_answer(sent)
         for end in report.ended:
             if end.sequence > executor.seen_end:
                 self._take_end(executor, end, outcome, now, find)
@@ -321,10 +325,10 @@
                     self._reinstate(run)
             elif self._is_over(executor, run, sent):
                 self._discharge(executor, run)
-                outcome.ended.append(Ended(run, Ending.LOST))
+                outcome.ended.append(EndedRun(run, Ending.LOST))
             elif self._may_still_begin(run, sent):
                 outcome.recheck.append(run)
-        outcome.strays.extend(present.values())
+        outcome.orphans.extend(present.values())
         self._forget_if_empty(executor)
         return outcome
 
@@ -332,7 +336,7 @@
         """Put an executor that fails what it starts in quarantine, unless its whole pool does."""
         registered = [item for item in self.executors.values() if item.registered]
         is_shut_out = may_quarantine(by_service(registered, executor.facts.service), now)
-        fields = {"executor": executor.name, "quarantine": QUARANTINE if is_shut_out else 0.0}
+        fields = {"executor": executor.name, "quarantine": QUARANTINE_TIME if is_shut_out else 0.0}
         log.warning("executor fails its work", extra=fields)
         if is_shut_out:
             executor.quarantine(now)
@@ -358,19 +362,19 @@
         if executor.judge(run, end.ending):
             self._doubt(executor, now)
         self._discharge(executor, run)
-        outcome.ended.append(Ended(run, end.ending, end.checkpoint))
+        outcome.ended.append(EndedRun(run, end.ending, end.checkpoint))
 
     @staticmethod
     def _confirm(run: Run, row: RunningRow, now: float) -> None:
         if run.phase is not RunPhase.RUNNING:
-            run.enter(RunPhase.RUNNING, now)
+            run.enter_phase(RunPhase.RUNNING, now)
         if run.started is None:
             run.started = now
-        run.at_work = row.percent >= 100
-        if run.reported is None:
-            run.reported, run.percent_at_first = now, row.percent
-        if run.progressed is None or row.percent > run.percent:
-            run.percent, run.progressed = row.percent, now
+        run.is_available = row.percent >= 100
+        if run.first_reported_at is None:
+            run.first_reported_at, run.first_reported_percent = now, row.percent
+        if run.progressed_at is None or row.percent > run.percent:
+            run.percent, run.progressed_at = row.percent, now
         if row.checkpoint:
             run.task.checkpoint = row.checkpoint
         if run.task.step.spec.tail_target:
@@ -379,10 +383,10 @@
     @staticmethod
     def _is_over(executor: Executor, run: Run, sent: float) -> bool:
         """Tell whether a run that a report leaves out can neither be there nor begin there."""
-        if run.phase is RunPhase.RECALLED:
+        if run.phase is RunPhase.INHERITED:
             return True
-        if run.phase is RunPhase.RUNNING and executor.began_at >= run.since:
-            return sent > run.since
+        if run.phase is RunPhase.RUNNING and executor.restarted_at >= run.phase_since:
+            return sent > run.phase_since
         stopped = run.stop_confirmed
         return stopped is not None and sent >= stopped
 
@@ -390,9 +394,9 @@
     def _may_still_begin(run: Run, sent: float) -> bool:
         """Tell whether only a stop order can settle what becomes of a run."""
         lost = run.phase in (RunPhase.UNCERTAIN, RunPhase.RUNNING)
-        return lost and sent > run.since and run.stop_confirmed is None
+        return lost and sent > run.phase_since and run.stop_confirmed is None
 
 
 def _recalled_facts(name: str, life: int, machine: str) -> ExecutorFacts:
     """Return all that former terms tell of an executor; its entry tells the rest, if it stands."""
-    return ExecutorFacts(name, life, "", "", "", "", machine, frozenset(), NOTHING, True)
+    return ExecutorFacts(name, life, "", "", "", "", machine, frozenset(), NO_RESOURCES, True)
--- a/vanillawell/state/losses.py
+++ b/vanillawell/state/losses.py
@@ -38,7 +38,7 @@
     return [
         item
         for item in executors
-        if item.runs and item.is_out_of_touch and now > item.known_since + LISTED_AFTER
+        if item.runs and item.is_unconfirmed and now > item.tracked_since + LISTED_AFTER
     ]
 
 
@@ -65,8 +65,8 @@
     Those that have come since the list may have been made speak neither for nor against it, unless
     there are no others.
     """
-    in_touch = [item for item in executors if item.registered and not item.is_out_of_touch]
-    settled = [item for item in in_touch if asked > item.known_since + LISTED_AFTER]
+    in_touch = [item for item in executors if item.registered and not item.is_unconfirmed]
+    settled = [item for item in in_touch if asked > item.tracked_since + LISTED_AFTER]
     witnesses = settled or in_touch
     named = sum(item.name in living for item in witnesses)
     return bool(named) and named >= BELIEVED_FROM * len(witnesses)
--- a/vanillawell/state/outbox.py
+++ b/vanillawell/state/outbox.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StrayStop:
+class OrphanedRun:
     """A run to stop that is not charged to any task."""
 
     executor: str
@@ -22,14 +22,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SavedEnd:
+class EndConfirmation:
     """An end that may be confirmed to its executor once it is stored."""
 
     executor: Executor
     sequence: int
 
 
-class DoneTask(NamedTuple):
+class CompletedTask(NamedTuple):
     """A task that was done, for the log."""
 
     task_id: TaskId
@@ -48,11 +48,11 @@
     """What the decisions so far ask for."""
 
     planned: list[Run] = field(default_factory=list)
-    ends: list[SavedEnd] = field(default_factory=list)
+    ends: list[EndConfirmation] = field(default_factory=list)
     stops: list[Run] = field(default_factory=list)
-    stray_stops: list[StrayStop] = field(default_factory=list)
-    done: list[DoneTask] = field(default_factory=list)
-    taken: dict[str, set[str]] = field(default_factory=dict)
+    orphan_stops: list[OrphanedRun] = field(default_factory=list)
+    done: list[CompletedTask] = field(default_factory=list)
+    accepted_requests: dict[str, set[str]] = field(default_factory=dict)
     """What callers asked for and is taken in now: keys by the job that they concern."""
 
     on_stop: Callable[[], None] = _nobody
@@ -63,7 +63,7 @@
         self.stops.append(run)
         self.on_stop()
 
-    def stop_stray(self, stray: StrayStop) -> None:
+    def stop_orphan(self, stray: OrphanedRun) -> None:
         """Ask for a run to be stopped that is not charged to any task."""
-        self.stray_stops.append(stray)
+        self.orphan_stops.append(stray)
         self.on_stop()
--- a/vanillawell/state/pacing.py
+++ b/vanillawell/state/pacing.py
@@ -58,7 +58,7 @@
         nearness = [
             run.tail / run.task.step.spec.tail_target
             for run in runs
-            if run.task.step.spec.tail_target and run.at_work
+            if run.task.step.spec.tail_target and run.is_available
         ]
         if not nearness or now - self.changed < REST:
             return
--- a/vanillawell/state/placement.py
+++ b/vanillawell/state/placement.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from vanillawell.state.availability import has_lasting
-from vanillawell.state.work import NOTHING, Resources
+from vanillawell.state.work import NO_RESOURCES, Resources
 
 if TYPE_CHECKING:
     from collections.abc import Collection, Mapping, Sequence
@@ -19,7 +19,7 @@
 """What speaks against an executor for a task, most important first; the least one is chosen."""
 
 
-def load(executor: Executor) -> float:
+def cpu_utilisation(executor: Executor) -> float:
     """Return the part of an executor's processors that is charged."""
     capacity = executor.facts.capacity.cpu
     return executor.used.cpu / capacity if capacity else 1.0
@@ -112,7 +112,7 @@
         crowd = self._on_executor[executor.name] if spec.long_running else 0
         if spec.fills:
             crowd += fills_on(executor)
-        used = load(executor) if spec.long_running else -load(executor)
+        used = cpu_utilisation(executor) if spec.long_running else -cpu_utilisation(executor)
         return (
             executor.name == task.failed_on,
             spec.long_running and executor.awaits_upkeep,
@@ -132,7 +132,7 @@
     def roomiest(self) -> Executor | None:
         """Return the executor that is nearest to having room, to be kept free for the step."""
         allowed = [item for item in self._candidates if not self._is_full_of_step(item)]
-        return min(allowed, key=lambda item: (load(item), item.name), default=None)
+        return min(allowed, key=lambda item: (cpu_utilisation(item), item.name), default=None)
 
 
 def fits_times(spec: Step, executor: Executor) -> int:
@@ -161,6 +161,6 @@
 
     def hopeless(self, service: str, need: Resources) -> bool:
         """Tell whether a smaller or equal need found no room in this pass."""
-        return need != NOTHING and any(
+        return need != NO_RESOURCES and any(
             smaller.fits(need) for smaller in self._failed.get(service, ())
         )
--- a/vanillawell/state/placement_pass.py
+++ b/vanillawell/state/placement_pass.py
@@ -17,7 +17,7 @@
 
 log = logging.getLogger(__name__)
 
-HELD_BY_ROOM = "room"
+HELD_BY_CAPACITY = "room"
 """What a step is held by whose tasks find no executor with a place."""
 
 
@@ -35,7 +35,7 @@
     def _pool(self, service: str) -> list[Executor]:
         if service not in self._pools:
             pool = by_service(self._shard.ledger.executors.values(), service)
-            self._pools[service] = [item for item in pool if item.takes_work(self._now)]
+            self._pools[service] = [item for item in pool if item.accepts_tasks(self._now)]
         return self._pools[service]
 
     def place(self, step: StepProgress) -> None:
@@ -46,7 +46,7 @@
             self._held(step, "no queue")
             return
         if self._memo.hopeless(queue.service, step.spec.reserved):
-            self._held(step, HELD_BY_ROOM)
+            self._held(step, HELD_BY_CAPACITY)
             return
         tickets = None
         if queue.advice:
@@ -133,7 +133,7 @@
         if not self._allowed(step.waiting[0]):
             self._held(step, "maximum of the organisation")
             return
-        self._held(step, HELD_BY_ROOM)
+        self._held(step, HELD_BY_CAPACITY)
         if spec.long_running:
             roomiest = placer.roomiest()
             if roomiest:
--- a/vanillawell/state/pool_sizing.py
+++ b/vanillawell/state/pool_sizing.py
@@ -13,12 +13,12 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from vanillawell.state.work import CORES_PER_UNIT
+from vanillawell.state.work import MILLICORES_PER_CORE
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
 
-    from vanillawell.state.durations import DurationBook
+    from vanillawell.state.durations import DurationStatistics
     from vanillawell.state.executors import Executor
     from vanillawell.state.work import StepProgress
 
@@ -152,16 +152,16 @@
 
 
 def demanded_cores(
-    executors: Iterable[Executor], steps: Iterable[StepProgress], durations: DurationBook
+    executors: Iterable[Executor], steps: Iterable[StepProgress], durations: DurationStatistics
 ) -> float:
     """Return the cores of what is charged and of what it takes to catch up with what waits."""
-    charged = sum(executor.used.cpu for executor in executors) / CORES_PER_UNIT
+    charged = sum(executor.used.cpu for executor in executors) / MILLICORES_PER_CORE
     return charged + sum(_cores_to_catch_up(step, durations) for step in steps)
 
 
-def _cores_to_catch_up(step: StepProgress, durations: DurationBook) -> float:
+def _cores_to_catch_up(step: StepProgress, durations: DurationStatistics) -> float:
     """Return the cores that do a step's waiting tasks in time, at most one place for each."""
-    places = len(step.waiting) * step.spec.reserved.cpu / CORES_PER_UNIT
+    places = len(step.waiting) * step.spec.reserved.cpu / MILLICORES_PER_CORE
     if step.spec.long_running:
         return places
     seconds = durations.expected(step.record.job.queue, step.spec)
--- a/vanillawell/state/ranking.py
+++ b/vanillawell/state/ranking.py
@@ -59,11 +59,11 @@
     A step that has begun is served like one in time: what was spent on it would be lost.
     """
     record = step.record
-    if now > record.seen + WORTHLESS_AFTER * (record.late_by - record.seen):
+    if now > record.seen_at + WORTHLESS_AFTER * (record.deadline - record.seen_at):
         return 2
     begun = any(task.done or task.run for task in step.tasks)
-    left = 0.0 if begun else HEADROOM * record.chains[step.position]
-    return int(now + left > record.late_by)
+    left = 0.0 if begun else HEADROOM * record.critical_paths[step.position]
+    return int(now + left > record.deadline)
 
 
 def _begun(step: StepProgress) -> bool:
--- a/vanillawell/state/shard.py
+++ b/vanillawell/state/shard.py
@@ -15,11 +15,11 @@
 
 from vanillawell.state.arrivals import ArrivalMeter
 from vanillawell.state.copies import to_copy
-from vanillawell.state.durations import DurationBook
-from vanillawell.state.executors import QUARANTINE, Executor, by_service
-from vanillawell.state.job_board import JobBoard
-from vanillawell.state.ledger import Ended, Ledger, RecalledBound
-from vanillawell.state.outbox import DoneTask, Outbox, SavedEnd, StrayStop
+from vanillawell.state.durations import DurationStatistics
+from vanillawell.state.executors import QUARANTINE_TIME, Executor, by_service
+from vanillawell.state.job_table import JobTable
+from vanillawell.state.ledger import EndedRun, InheritedLeaseBound, Ledger
+from vanillawell.state.outbox import CompletedTask, EndConfirmation, OrphanedRun, Outbox
 from vanillawell.state.placement import StepPlacer
 from vanillawell.state.placement_pass import PlacementPass
 from vanillawell.state.ranking import rank_of
@@ -54,8 +54,8 @@
 
     def __init__(self, kept: float) -> None:
         self.ledger = Ledger()
-        self.board = JobBoard(self._attempts, kept)
-        self.durations = DurationBook()
+        self.job_table = JobTable(self._attempts, kept)
+        self.durations = DurationStatistics()
         self.arrivals = ArrivalMeter()
         self.outbox = Outbox()
         self.tickets: dict[tuple[str, int, int], Mapping[str, str]] = {}
@@ -85,14 +85,14 @@
             name: self._queues[name] for name in sorted(self._names_in_use) if name in self._queues
         }
 
-    def lacks_rules(self) -> bool:
+    def lacks_queue_rules(self) -> bool:
         """Tell whether there are jobs of queues whose rules are not known."""
         return not self._names_in_use <= self._queues.keys()
 
-    def recall_queues(self, queues: Mapping[str, Queue]) -> None:
+    def restore_queue_rules(self, queues: Mapping[str, Queue]) -> None:
         """Take over the rules of queues that the configuration has dropped since."""
         self._queues = {**queues, **self._queues}
-        for record in self.board.jobs.values():
+        for record in self.job_table.jobs.values():
             self._set_objective(record)
 
     def queue_of(self, job: Job) -> Queue | None:
@@ -104,13 +104,13 @@
 
         `is_backlog` says that it was accepted before this process owned the shard.
         """
-        if job.job_id in self.board.jobs:
+        if job.job_id in self.job_table.jobs:
             return None
         record = JobRecord(job, now)
         self._names_in_use.add(job.queue)
         self._set_objective(record)
-        self.board.add(record)
-        self.board.changed[job.job_id] = record
+        self.job_table.add(record)
+        self.job_table.changed[job.job_id] = record
         queue = self.queue_of(job)
         if queue is not None and not is_backlog:
             self.arrivals.note(queue.service, job, self.durations, now)
@@ -118,29 +118,29 @@
 
     def _set_objective(self, record: JobRecord) -> None:
         queue = self.queue_of(record.job)
-        record.chains = self.durations.chains(record.job)
+        record.critical_paths = self.durations.critical_paths(record.job)
         if queue is None:
-            record.late_by = record.seen
+            record.deadline = record.seen_at
             return
-        path = max(record.chains, default=0.0)
-        record.late_by = record.seen + queue.slack_factor * path + queue.objective
+        path = max(record.critical_paths, default=0.0)
+        record.deadline = record.seen_at + queue.slack_factor * path + queue.objective
 
     def restore(
-        self, record: JobRecord, runs: Iterable[Run], bound: Callable[[str], RecalledBound]
+        self, record: JobRecord, runs: Iterable[Run], bound: Callable[[str], InheritedLeaseBound]
     ) -> None:
         """Take over a job with the runs that the store tells of; `bound` is called by executor."""
         if not record.state.final:
             self._names_in_use.add(record.job.queue)
         self._set_objective(record)
-        self.board.add(record)
+        self.job_table.add(record)
         for run in runs:
             self.ledger.recall(run.task, run, bound(run.executor))
             if record.state.final or run.task.done:
-                self.want_stop(run)
+                self.request_stop(run)
 
     def cancel(self, job_id: str, wall: float) -> bool:
         """Cancel a job and ask for all its runs to be stopped; False if it was final."""
-        record = self.board.cancel(job_id, wall)
+        record = self.job_table.cancel(job_id, wall)
         if record is None:
             return False
         self._stop_runs(record)
@@ -150,13 +150,13 @@
         steps = itertools.chain.from_iterable(record.occurrences.values())
         for task in itertools.chain.from_iterable(step.tasks for step in steps):
             for run in task.open_runs:
-                self.want_stop(run)
+                self.request_stop(run)
 
-    def want_stop(self, run: Run) -> None:
+    def request_stop(self, run: Run) -> None:
         """Ask for a run to be stopped."""
-        if run.stop_wanted:
+        if run.stop_requested:
             return
-        run.stop_wanted = True
+        run.stop_requested = True
         if run.phase is not RunPhase.PLANNED:
             self.outbox.stop(run)
 
@@ -164,9 +164,9 @@
         """Take in a change in the registry of executors."""
         self._settle(self.ledger.register(facts, now), now, wall)
 
-    def dead(self, name: str, incarnation: int, now: float, wall: float) -> None:
+    def mark_terminated(self, name: str, incarnation: int, now: float, wall: float) -> None:
         """Take in the proof that a life of an executor is over."""
-        self._settle(self.ledger.dead(name, incarnation), now, wall)
+        self._settle(self.ledger.mark_terminated(name, incarnation), now, wall)
 
     def expire(self, now: float, wall: float) -> None:
         """Give up runs whose lease has surely expired."""
@@ -179,20 +179,20 @@
         self, executor: Executor, report: HoldReport, sent: float, now: float, wall: float
     ) -> None:
         """Take in a report of an executor on a call that was sent at `sent`."""
-        outcome = self.ledger.take_report(executor, report, sent, now, self.board.find)
+        outcome = self.ledger.take_report(executor, report, sent, now, self.job_table.find)
         numbers = [end.sequence for end in report.ended if end.sequence in executor.unsaved_ends]
-        self.outbox.ends.extend(SavedEnd(executor, number) for number in numbers)
+        self.outbox.ends.extend(EndConfirmation(executor, number) for number in numbers)
         self._settle(outcome.ended, now, wall)
         for end in outcome.late_ends:
             self._take_late_end(end, now, wall)
         for run in outcome.recheck:
-            self.want_stop(run)
+            self.request_stop(run)
         for run in executor.runs.values():
             if run.superseded and (run.task.done or run.task.step.record.state.final):
-                self.want_stop(run)
-        for row in outcome.strays:
+                self.request_stop(run)
+        for row in outcome.orphans:
             if row.task_id is not None:
-                self.outbox.stop_stray(StrayStop(executor.name, row.task_id, row.run))
+                self.outbox.stop_orphan(OrphanedRun(executor.name, row.task_id, row.run))
         self._leave_stalled(executor, now)
 
     def _leave_stalled(self, executor: Executor, now: float) -> None:
@@ -200,31 +200,31 @@
         stalled = stalled_runs(executor, now)
         if not stalled:
             return
-        executor.suspect(now + QUARANTINE)
-        oldest = max(now - run.progressed for run in stalled if run.progressed is not None)
+        executor.block_placement(now + QUARANTINE_TIME)
+        oldest = max(now - run.progressed_at for run in stalled if run.progressed_at is not None)
         fields = {"executor": executor.name, "runs": len(stalled), "still": round(oldest, 3)}
         log.warning("executor stalled", extra=fields)
         for run in stalled:
-            self.want_stop(run)
+            self.request_stop(run)
 
     def _take_late_end(self, end: EndRow, now: float, wall: float) -> None:
         """Take in the end of a run that had been given up."""
-        task = self.board.find(end.task_id) if end.task_id else None
+        task = self.job_table.find(end.task_id) if end.task_id else None
         if task is None:
             return
-        self.board.changed[task.step.record.job.job_id] = task.step.record
+        self.job_table.changed[task.step.record.job.job_id] = task.step.record
         if end.ending is not Ending.DONE or task.done:
             return
         if task.run is not None:
-            self.want_stop(task.run)
-        self.board.ended(task, Ending.DONE, end.checkpoint, now, wall)
+            self.request_stop(task.run)
+        self.job_table.ended(task, Ending.DONE, end.checkpoint, now, wall)
 
-    def _settle(self, ended: Iterable[Ended], now: float, wall: float) -> None:
+    def _settle(self, ended: Iterable[EndedRun], now: float, wall: float) -> None:
         """Let the jobs of ended runs go on."""
         for item in ended:
             self._settle_one(item, now, wall)
 
-    def _settle_one(self, item: Ended, now: float, wall: float) -> None:
+    def _settle_one(self, item: EndedRun, now: float, wall: float) -> None:
         run, task = item.run, item.run.task
         record = task.step.record
         was_final = record.state.final
@@ -232,7 +232,7 @@
             self.durations.learn(record.job.queue, task.step.spec, now - run.started)
         if item.ending is Ending.FAILED:
             task.failed_on = run.executor
-        self.board.ended(task, item.ending, item.checkpoint, now, wall)
+        self.job_table.ended(task, item.ending, item.checkpoint, now, wall)
         self._tell_end(item, now)
         if task.done:
             self._stop_copies(task)
@@ -243,24 +243,24 @@
                 extra={
                     "job": record.job.job_id,
                     "state": record.state,
-                    "seconds": round(now - record.seen, 3),
-                    "late_by": round(now - record.late_by, 3),
+                    "seconds": round(now - record.seen_at, 3),
+                    "late_by": round(now - record.deadline, 3),
                 },
             )
 
     def _stop_copies(self, task: Task) -> None:
         """Stop what still runs of a done task; silent executors are told once they answer."""
         for run in task.open_runs:
-            if not self.ledger.executors[run.executor].is_out_of_touch:
-                self.want_stop(run)
+            if not self.ledger.executors[run.executor].is_unconfirmed:
+                self.request_stop(run)
 
     def _copy_from_silent(self, now: float) -> None:
         """Let tasks that may run twice begin elsewhere while their executors are silent."""
         for run in to_copy(self.ledger.executors.values(), now):
             record = run.task.step.record
             self.ledger.supersede(run)
-            self.board.changed[record.job.job_id] = record
-            silent_since = self.ledger.executors[run.executor].silent_since or now
+            self.job_table.changed[record.job.job_id] = record
+            unresponsive_since = self.ledger.executors[run.executor].unresponsive_since or now
             log.info(
                 "task copied",
                 extra={
@@ -268,16 +268,18 @@
                     "task": run.task.task_id[1:],
                     "run": run.number,
                     "executor": run.executor,
-                    "silent": round(now - silent_since, 3),
+                    "silent": round(now - unresponsive_since, 3),
                 },
             )
 
-    def _tell_end(self, item: Ended, now: float) -> None:
+    def _tell_end(self, item: EndedRun, now: float) -> None:
         """Tell of an end: of tasks that are done with the next turn, of all others at once."""
         run, step = item.run, item.run.task.step
         seconds = round(now - run.started, 3) if run.started else None
         if item.ending is Ending.DONE and not step.spec.long_running:
-            self.outbox.done.append(DoneTask(run.task.task_id, run.number, run.executor, seconds))
+            self.outbox.done.append(
+                CompletedTask(run.task.task_id, run.number, run.executor, seconds)
+            )
             return
         log.info(
             "run ended",
@@ -292,20 +294,20 @@
             },
         )
 
-    def never_began(self, run: Run, now: float, wall: float) -> None:
+    def mark_not_started(self, run: Run, now: float, wall: float) -> None:
         """Take in the proof that a run was not and will not be started."""
         if self.ledger.close(run):
-            self._settle_one(Ended(run, Ending.LOST), now, wall)
+            self._settle_one(EndedRun(run, Ending.LOST), now, wall)
 
     def place(self, now: float, wall: float) -> None:
         """Start what can be started now."""
         if self._policy is None:
             return
-        self.board.begin_due(wall)
+        self.job_table.begin_due(wall)
         self._copy_from_silent(now)
         pass_ = PlacementPass(self, self._policy, now)
-        waiting = [step for step in self.board.open_steps if step.has_waiting]
-        waiting.sort(key=lambda step: step.record.late_by)
+        waiting = [step for step in self.job_table.open_steps if step.has_waiting]
+        waiting.sort(key=lambda step: step.record.deadline)
         ranked = sorted(((self._rank(step, now), step) for step in waiting), key=itemgetter(0))
         for rank, group in itertools.groupby(ranked, key=itemgetter(0)):
             steps = [step for _, step in group]
@@ -322,7 +324,7 @@
         weight = limits.share if limits and limits.share > 0 else 1.0
         return self.ledger.usage(organisation).cpu / weight
 
-    def has_place(self, run: Run, now: float) -> bool:
+    def can_place_elsewhere(self, run: Run, now: float) -> bool:
         """Tell whether another executor of its pool has a place for the task of a run.
 
         None has as long as it is not known which of them may run it.
@@ -337,7 +339,7 @@
         others = [
             item
             for item in by_service(self.ledger.executors.values(), executor.facts.service)
-            if item is not executor and item.takes_work(now)
+            if item is not executor and item.accepts_tasks(now)
         ]
         return StepPlacer(step, others, tickets).choose(run.task) is not None
 
@@ -351,7 +353,7 @@
 
     def settle_plan(self, run: Run) -> None:
         """Let a planned run go out once it is stored."""
-        self.board.begun(run.task)
+        self.job_table.begun(run.task)
         self.outbox.planned.append(run)
 
     def unplan(self, run: Run) -> None:
--- a/vanillawell/state/stalls.py
+++ b/vanillawell/state/stalls.py
@@ -46,7 +46,7 @@
     """Tell whether progress can be expected: gangs wait for members, paced tasks for others."""
     spec = run.task.step.spec
     waits = spec.long_running or spec.gang or spec.fills
-    return run.phase is RunPhase.RUNNING and not waits and not run.stop_wanted
+    return run.phase is RunPhase.RUNNING and not waits and not run.stop_requested
 
 
 def _patience(run: Run) -> float:
@@ -57,10 +57,10 @@
     """Tell whether a task has come further lately, or has done its work."""
     if run.percent >= COMPLETE:
         return True
-    if run.progressed is None or run.progressed == run.reported:
+    if run.progressed_at is None or run.progressed_at == run.first_reported_at:
         return False
-    return now - run.progressed <= _patience(run)
+    return now - run.progressed_at <= _patience(run)
 
 
 def _stands_still(run: Run, now: float) -> bool:
-    return run.progressed is not None and now - run.progressed > _patience(run)
+    return run.progressed_at is not None and now - run.progressed_at > _patience(run)
--- a/vanillawell/state/trial_placement.py
+++ b/vanillawell/state/trial_placement.py
@@ -43,7 +43,7 @@
     return found
 
 
-def machines_lacking(
+def count_missing_machines(
     executors: Iterable[Executor],
     on_their_way: int,
     capacity: Resources,
--- a/vanillawell/state/upkeep.py
+++ b/vanillawell/state/upkeep.py
@@ -183,7 +183,7 @@
     return max(1, int(part * size), math.ceil(left / rounds))
 
 
-def to_stop(executor: Executor, has_place: Callable[[Run], bool]) -> list[Run]:
+def to_stop(executor: Executor, can_place_elsewhere: Callable[[Run], bool]) -> list[Run]:
     """Return long-running tasks of an executor that may be moved now, one of a step.
 
     A task for which no other executor has a place stays at work: stopped now, it would be away
@@ -193,8 +193,8 @@
     chosen: dict[StepProgress, Run] = {}
     for run in sorted(executor.runs.values(), key=lambda run: run.task.task_id):
         step = run.task.step
-        movable = step.spec.long_running and not run.stop_wanted and step not in chosen
-        if movable and may_take_away(run) and has_place(run):
+        movable = step.spec.long_running and not run.stop_requested and step not in chosen
+        if movable and may_take_away(run) and can_place_elsewhere(run):
             chosen[step] = run
     return list(chosen.values())
 
--- a/vanillawell/state/work.py
+++ b/vanillawell/state/work.py
@@ -6,7 +6,7 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-CORES_PER_UNIT = 1000
+MILLICORES_PER_CORE = 1000
 """Thousandths of a core in a core."""
 
 
@@ -34,7 +34,7 @@
         return self.cpu <= room.cpu and self.memory <= room.memory and self.gpu <= room.gpu
 
 
-NOTHING = Resources()
+NO_RESOURCES = Resources()
 """No resources at all."""
 
 
@@ -161,11 +161,11 @@
     DONE = "done"
     FAILED = "failed"
     STOPPED = "stopped"
-    LAPSED = "lapsed"
+    LEASE_EXPIRED = "lapsed"
     """Its lease expired."""
-    BROKEN = "broken"
+    GANG_BROKEN = "broken"
     """Another member of its gang ended."""
-    ALONE = "alone"
+    GANG_INCOMPLETE = "alone"
     """The other members of its gang did not arrive in time."""
     LOST = "lost"
     """It is proved that it does not run, and nothing says how it ended."""
@@ -180,7 +180,7 @@
     """The order is on its way."""
     UNCERTAIN = "uncertain"
     """The order got no answer; it may be carried out seconds later."""
-    RECALLED = "recalled"
+    INHERITED = "recalled"
     """Read from the store after a change of owner; not yet seen at the executor."""
     RUNNING = "running"
     """The executor has confirmed it."""
@@ -195,10 +195,10 @@
     executor: str
     incarnation: int
     phase: RunPhase
-    since: float
+    phase_since: float
     """When the present phase began, on the clock of decisions."""
 
-    stop_wanted: bool = False
+    stop_requested: bool = False
     stop_confirmed: float | None = None
     """When the executor confirmed a stop order; from then on this run cannot begin there."""
 
@@ -208,16 +208,16 @@
     percent: int = 0
     """How far it has come, as last reported."""
 
-    reported: float | None = None
+    first_reported_at: float | None = None
     """When a report first showed it."""
 
-    percent_at_first: int = 0
+    first_reported_percent: int = 0
     """How far it had come then; not all of it need be its own work."""
 
-    progressed: float | None = None
+    progressed_at: float | None = None
     """When a report first showed it, or last showed it further than before."""
 
-    at_work: bool = False
+    is_available: bool = False
     """Whether a long-running task is past its start-up and works at full pace, as last reported by
     an executor that still answers."""
 
@@ -238,10 +238,10 @@
         """Return what the run takes from its executor."""
         return self.task.step.spec.reserved
 
-    def enter(self, phase: RunPhase, now: float) -> None:
+    def enter_phase(self, phase: RunPhase, now: float) -> None:
         """Change the phase."""
         self.phase = phase
-        self.since = now
+        self.phase_since = now
 
 
 @dataclass(slots=True, eq=False)
@@ -317,7 +317,7 @@
     """A job and everything that has happened to it."""
 
     job: Job
-    seen: float
+    seen_at: float
     """When this process learned of the job, on the clock of decisions."""
 
     state: JobState = JobState.QUEUED
@@ -331,10 +331,10 @@
     """When the job became final, in seconds since the epoch."""
 
     open_runs: int = 0
-    late_by: float = 0.0
+    deadline: float = 0.0
     """Clock of decisions by which the job should be completed."""
 
-    chains: tuple[float, ...] = ()
+    critical_paths: tuple[float, ...] = ()
     """Seconds of the longest chain of work that begins with each step, as expected at first."""
 
     @property
--- a/vanillawell/tests/advice_desk_tests.py
+++ b/vanillawell/tests/advice_desk_tests.py
@@ -13,7 +13,7 @@
 from vanillawell.tests.scheduler_cluster import HINTED_PREFIX, Cluster, until, with_cluster
 from vanillawell.tests.scheduler_cluster import job as body_of_job
 from vanillawell.tests.scheduler_cluster import step as step_in_body
-from vanillawell.tests.scheduling_builders import POOL, QUEUE, Bench, facts, job, step
+from vanillawell.tests.scheduling_builders import POOL, QUEUE, ShardHarness, facts, job, step
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -40,37 +40,37 @@
         return dict.fromkeys(executors, "ticket")
 
 
-def _bench(*names: str) -> Bench:
+def _bench(*names: str) -> ShardHarness:
     """Return a shard on the running clock whose queue needs advice."""
     queues = {
         QUEUE: Queue(QUEUE, "h", "/q/", POOL, 0, 3, 1.6, 0.6, False, RULE),
         "other": Queue("other", "h", "/o/", "elsewhere", 0, 3, 1.6, 0.6, False, RULE),
     }
     services = {name: Service(name, False, False) for name in (POOL, "elsewhere")}
-    bench = Bench(queues=queues, services=services)
-    bench.now = clock.read()
+    harness = ShardHarness(queues=queues, services=services)
+    harness.now = clock.read()
     for name in names:
-        bench.register(facts(name))
-    return bench
+        harness.register(facts(name))
+    return harness
 
 
-def _lasting_run(bench: Bench) -> tuple[Job, Run]:
+def _lasting_run(harness: ShardHarness) -> tuple[Job, Run]:
     """Place a lasting task, whose tickets expire meanwhile."""
     item = job(step(long_running=True))
-    bench.admit(item)
-    bench.shard.tickets[item.job_id, 0, 0] = {"i-0": "ticket"}
-    (run,) = bench.place()
-    bench.shard.tickets.clear()
+    harness.admit(item)
+    harness.shard.tickets[item.job_id, 0, 0] = {"i-0": "ticket"}
+    (run,) = harness.place()
+    harness.shard.tickets.clear()
     return item, run
 
 
-def _ask(bench: Bench) -> list[tuple[str, list[str]]]:
+def _ask(harness: ShardHarness) -> list[tuple[str, list[str]]]:
     """Let the desk work for a moment; returns what it asked."""
     advice = AskedAdvice()
 
     async def work() -> None:
         with anyio.move_on_after(0.1):
-            await AdviceDesk(bench.shard, advice, lambda: None).run()
+            await AdviceDesk(harness.shard, advice, lambda: None).run()
 
     anyio.run(work)
     return advice.asked
@@ -78,41 +78,41 @@
 
 def test_nothing_is_asked_for_a_task_that_stays_where_it_is() -> None:
     """Each question takes the service's time, and answers expire."""
-    bench = _bench("i-0")
-    _lasting_run(bench)
-    assert _ask(bench) == []
+    harness = _bench("i-0")
+    _lasting_run(harness)
+    assert _ask(harness) == []
 
 
 def test_advice_is_asked_ahead_for_a_lasting_task_on_an_executor_that_leaves() -> None:
     """Nothing waits yet. Asked only once the task is stopped, nobody would know that it may be."""
-    bench = _bench("i-0")
-    item, run = _lasting_run(bench)
-    bench.register(facts("i-1"))
-    bench.register(facts("i-0", draining=True, remaining=4.0))
-    assert not bench.shard.has_place(run, bench.now)
-    assert _ask(bench) == [(item.job_id, ["i-1"])]
-    assert bench.shard.has_place(run, bench.now)
+    harness = _bench("i-0")
+    item, run = _lasting_run(harness)
+    harness.register(facts("i-1"))
+    harness.register(facts("i-0", draining=True, remaining=4.0))
+    assert not harness.shard.can_place_elsewhere(run, harness.now)
+    assert _ask(harness) == [(item.job_id, ["i-1"])]
+    assert harness.shard.can_place_elsewhere(run, harness.now)
 
 
 def test_advice_is_asked_ahead_for_a_lasting_task_on_a_closed_machine() -> None:
-    bench = _bench("i-0")
-    item, _ = _lasting_run(bench)
-    bench.register(facts("i-1"))
-    bench.shard.ledger.close_machine("m-i-0")
-    assert _ask(bench) == [(item.job_id, ["i-1"])]
+    harness = _bench("i-0")
+    item, _ = _lasting_run(harness)
+    harness.register(facts("i-1"))
+    harness.shard.ledger.cordon_machine("m-i-0")
+    assert _ask(harness) == [(item.job_id, ["i-1"])]
 
 
 def test_a_step_that_nobody_could_run_now_keeps_no_other_from_being_asked_for() -> None:
     """The only executor of a pool leaves. Its lasting task, which is late by nature, would come
     first in each look, and no step of another pool would get its tickets."""
-    bench = _bench("i-0")
-    _lasting_run(bench)
-    bench.register(facts("i-0", draining=True, remaining=4.0))
-    bench.register(facts("e-0", service="elsewhere"))
-    bench.now += 60.0
+    harness = _bench("i-0")
+    _lasting_run(harness)
+    harness.register(facts("i-0", draining=True, remaining=4.0))
+    harness.register(facts("e-0", service="elsewhere"))
+    harness.now += 60.0
     other = job(queue="other")
-    bench.admit(other)
-    assert _ask(bench) == [(other.job_id, ["e-0"])]
+    harness.admit(other)
+    assert _ask(harness) == [(other.job_id, ["e-0"])]
 
 
 async def _lasting(built: Cluster, **fields: Any) -> None:
--- a/vanillawell/tests/busy_owner_tests.py
+++ b/vanillawell/tests/busy_owner_tests.py
@@ -15,7 +15,7 @@
 from vanillawell.state.placement import Cost, StepPlacer
 from vanillawell.state.work import JobRecord
 from vanillawell.tests.scheduler_cluster import PREFIX, job, step, until_state, with_cluster
-from vanillawell.tests.scheduling_builders import Bench, facts
+from vanillawell.tests.scheduling_builders import ShardHarness, facts
 from vanillawell.tests.scheduling_builders import job as plain_job
 from vanillawell.tests.scheduling_builders import step as plain_step
 
@@ -45,13 +45,13 @@
 """Ends that one call to an executor brings and confirms at least, in a peak."""
 
 
-def _fleet(rng: random.Random) -> Bench:
+def _fleet(rng: random.Random) -> ShardHarness:
     """Return a shard whose executors are filled unevenly."""
-    bench = Bench(*(facts(f"i-{number:03}", cpu=16_000) for number in range(FLEET)))
+    harness = ShardHarness(*(facts(f"i-{number:03}", cpu=16_000) for number in range(FLEET)))
     for _ in range(FLEET):
-        bench.admit(plain_job(plain_step(rng.randint(1, 8), cpu=rng.randint(300, 3_000))))
-    bench.place()
-    return bench
+        harness.admit(plain_job(plain_step(rng.randint(1, 8), cpu=rng.randint(300, 3_000))))
+    harness.place()
+    return harness
 
 
 def _wide_step() -> list[Task]:
@@ -62,8 +62,8 @@
 def test_each_task_stays_with_the_one_before_or_goes_where_a_search_puts_it() -> None:
     """The executor that was best for one task is kept for the next, so it has to have room; and
     once it has none the next one must be what a search among all finds."""
-    bench = _fleet(random.Random(3))
-    pool = list(bench.shard.ledger.executors.values())
+    harness = _fleet(random.Random(3))
+    pool = list(harness.shard.ledger.executors.values())
     tasks = _wide_step()
     placer = StepPlacer(tasks[0].step, pool, None)
     before: Executor | None = None
@@ -73,14 +73,14 @@
         assert chosen is not None
         stays = before is not None and task.step.spec.reserved.fits(before.free)
         assert chosen is (before if stays else found)
-        bench.shard.plan(task, chosen, 1, "", bench.now)
+        harness.shard.plan(task, chosen, 1, "", harness.now)
         placer.placed(chosen)
         before = chosen
 
 
 def test_a_wide_step_is_not_compared_with_each_executor_for_each_task() -> None:
     """Forty tasks on a hundred executors would be four thousand comparisons in each turn."""
-    bench = _fleet(random.Random(3))
+    harness = _fleet(random.Random(3))
     compared = 0
 
     class Counting(StepPlacer):
@@ -90,11 +90,11 @@
             return super()._cost(executor, task)
 
     tasks = _wide_step()
-    placer = Counting(tasks[0].step, list(bench.shard.ledger.executors.values()), None)
+    placer = Counting(tasks[0].step, list(harness.shard.ledger.executors.values()), None)
     for task in tasks:
         chosen = placer.choose(task)
         assert chosen is not None
-        bench.shard.plan(task, chosen, 1, "", bench.now)
+        harness.shard.plan(task, chosen, 1, "", harness.now)
         placer.placed(chosen)
     assert compared < 12 * FLEET
 
--- a/vanillawell/tests/driver_clocks_tests.py
+++ b/vanillawell/tests/driver_clocks_tests.py
@@ -10,7 +10,7 @@
 from vanillawell.coordination.leases import REFERENCE_CLOCKS, ExecutorClock
 from vanillawell.state.availability import has_lasting
 from vanillawell.tests.lease_keeper_tests import busy_executor
-from vanillawell.tests.scheduling_builders import Bench, facts
+from vanillawell.tests.scheduling_builders import ShardHarness, facts
 
 if TYPE_CHECKING:
     from vanillawell.coordination.executor_driver import ExecutorDriver
@@ -37,15 +37,15 @@
 def test_the_clocks_of_silent_executors_are_not_left_before_those_of_sound_ones() -> None:
     """All executors with lasting tasks are out of touch. A successor can read none of their clocks,
     so no time would count as passed for it, and the wait for their leases begins anew."""
-    bench, lost = Bench(), []
+    harness, lost = ShardHarness(), []
     for number in range(REFERENCE_CLOCKS):
-        reader = Reader(busy_executor(bench, f"i-{number}"))
-        reader.read(bench.now)
-        reader.executor.silent_since = bench.now
+        reader = Reader(busy_executor(harness, f"i-{number}"))
+        reader.read(harness.now)
+        reader.executor.unresponsive_since = harness.now
         lost.append(reader)
     assert all(has_lasting(reader.executor) for reader in lost)
-    sound = Reader(bench.register(facts("i-sound")))
-    sound.read(bench.now + 1.0)
+    sound = Reader(harness.register(facts("i-sound")))
+    sound.read(harness.now + 1.0)
     readers = {item.executor.name: item for item in (*lost, sound)}
-    clocks = DriverClocks(cast("dict[str, ExecutorDriver]", readers)).at_most(bench.now + 1.0)
+    clocks = DriverClocks(cast("dict[str, ExecutorDriver]", readers)).at_most(harness.now + 1.0)
     assert "i-sound@1" in itertools.islice(clocks, REFERENCE_CLOCKS)
--- a/vanillawell/tests/executor_link_tests.py
+++ b/vanillawell/tests/executor_link_tests.py
@@ -7,7 +7,7 @@
 import pytest
 
 from vanillawell.coordination.executor_link import ExecutorLink
-from vanillawell.tests.scheduling_builders import Bench, facts
+from vanillawell.tests.scheduling_builders import ShardHarness, facts
 
 KILL_GRACE = 0.1
 """Seconds."""
@@ -16,26 +16,28 @@
 @pytest.fixture
 def link() -> ExecutorLink:
     """Return the link to an executor whose clock was read at 0."""
-    bench = Bench(facts("i-0"))
+    harness = ShardHarness(facts("i-0"))
     nothing = cast("Any", None)
-    executor = bench.shard.ledger.executors["i-0"]
+    executor = harness.shard.ledger.executors["i-0"]
     made = ExecutorLink(
-        executor, nothing, bench.shard, nothing, nothing, lambda: None, float, 6.0, KILL_GRACE
+        executor, nothing, harness.shard, nothing, nothing, lambda: None, float, 6.0, KILL_GRACE
     )
     made.enter_life(executor.facts.incarnation)
     made.answered(executor.facts.incarnation, 100.0, 0.0, 0.0)
-    executor.lease_over = 0.0
+    executor.lease_expires_at = 0.0
     return made
 
 
 def test_a_call_that_did_nothing_extends_no_lease(link: ExecutorLink) -> None:
     """Else a task stays charged to an executor that refuses all calls."""
     first = link.extend_lease(0.0)
-    over = link.executor.lease_over
+    over = link.executor.lease_expires_at
     link.take_back(link.extend_lease(1.0))
-    assert link.executor.lease_over == over
+    assert link.executor.lease_expires_at == over
     link.take_back(first)
-    assert link.executor.lease_over == over  # a later call was under way, so this stays too long
+    assert (
+        link.executor.lease_expires_at == over
+    )  # a later call was under way, so this stays too long
 
 
 def test_a_refusal_takes_back_no_lease_of_a_later_call(link: ExecutorLink) -> None:
@@ -45,6 +47,6 @@
     first = link.extend_lease(3.0)
     link.answered(link.executor.facts.incarnation, 103.0, 3.0, 3.0)
     link.extend_lease(3.0)
-    over = link.executor.lease_over
+    over = link.executor.lease_expires_at
     link.take_back(first)
-    assert link.executor.lease_over == over
+    assert link.executor.lease_expires_at == over
--- a/vanillawell/tests/handover_doubt_tests.py
+++ b/vanillawell/tests/handover_doubt_tests.py
@@ -27,7 +27,7 @@
     until_state,
     with_cluster,
 )
-from vanillawell.tests.scheduling_builders import Bench, facts
+from vanillawell.tests.scheduling_builders import ShardHarness, facts
 from vanillawell.tests.term_tests import _take
 
 if TYPE_CHECKING:
@@ -96,13 +96,13 @@
     # answered during the freeze, read after it
     reading.note(100.0 + 0.5, sent=10.0, now=10.0 + 0.5 + frozen)
     stored = reading.at_most(10.0 + 0.5 + frozen)
-    bench = Bench()
+    harness = ShardHarness()
     passed = 2.0
     shown = {"i-2@1": 100.0 + 0.5 + frozen + passed}
     owner = Owner(bounds({"i-1": left}, {"i-2@1": stored}), shown)
-    executor = unreached(bench, owner, "i-1")
-    owner.keeper.count_time_passed([executor], bench.now)
-    assert executor.lease_over >= bench.now + left - passed - 1e-9
+    executor = unreached(harness, owner, "i-1")
+    owner.keeper.count_time_passed([executor], harness.now)
+    assert executor.lease_expires_at >= harness.now + left - passed - 1e-9
     assert frozen > ROUNDING, "the margin does not cover it"
 
 
@@ -129,10 +129,10 @@
 def test_an_executor_that_answers_nothing_gets_no_work_when_its_suspicion_ends() -> None:
     """Its leases may not be extended, so each start would be given up unsent, and planned anew
     with a write in each turn until the next call fails."""
-    bench = Bench(facts("i-1"))
-    executor = bench.shard.ledger.executors["i-1"]
-    executor.silent_since = bench.now - 5.0
-    assert not executor.takes_work(bench.now)
+    harness = ShardHarness(facts("i-1"))
+    executor = harness.shard.ledger.executors["i-1"]
+    executor.unresponsive_since = harness.now - 5.0
+    assert not executor.accepts_tasks(harness.now)
 
 
 @with_cluster(executors=1)
--- a/vanillawell/tests/logs_tests.py
+++ b/vanillawell/tests/logs_tests.py
@@ -11,7 +11,7 @@
 from vanillawell.coordination import turn_log
 from vanillawell.logs import BUDGET, DROPPED_FIELD, LONGEST_QUEUE, BudgetFilter, JsonFormatter
 from vanillawell.logs import NonBlockingHandler as Handler
-from vanillawell.tests.scheduling_builders import Bench, facts, job, step
+from vanillawell.tests.scheduling_builders import ShardHarness, facts, job, step
 
 
 def _record(message: str) -> logging.LogRecord:
@@ -55,9 +55,9 @@
     """A large pool's owner starts a thousand tasks within a second. With a line for each, those
     beyond the budget would be missing, and no late job of the peak could be explained."""
     wide = job(step(1_000, cpu=1))
-    bench = Bench(facts("i-0"))
-    bench.admit(wide)
-    runs = bench.place()
+    harness = ShardHarness(facts("i-0"))
+    harness.admit(wide)
+    runs = harness.place()
     with caplog.at_level(logging.INFO):
         turn_log.tell_started(runs, token=7)
     told = [row for record in caplog.records for row in record.__dict__["runs"]]
--- a/vanillawell/tests/losses_tests.py
+++ b/vanillawell/tests/losses_tests.py
@@ -4,17 +4,17 @@
 
 from vanillawell.state.executors import Executor
 from vanillawell.state.losses import LISTED_AFTER, Losses, in_doubt, losses
-from vanillawell.tests.scheduling_builders import Bench, facts, job, step
+from vanillawell.tests.scheduling_builders import ShardHarness, facts, job, step
 
 LATER = LISTED_AFTER + 1.0
 
 
-def bench_of(*names: str) -> tuple[Bench, list[Executor]]:
+def bench_of(*names: str) -> tuple[ShardHarness, list[Executor]]:
     """Return executors that each run a task."""
-    bench = Bench(*(facts(name) for name in names))
-    bench.admit(job(step(len(names), long_running=True, most_per_executor=1)))
-    assert len(bench.place()) == len(names)
-    return bench, list(bench.shard.ledger.executors.values())
+    harness = ShardHarness(*(facts(name) for name in names))
+    harness.admit(job(step(len(names), long_running=True, most_per_executor=1)))
+    assert len(harness.place()) == len(names)
+    return harness, list(harness.shard.ledger.executors.values())
 
 
 def listing(*living: str, down: tuple[str, ...] = ()) -> dict[str, str]:
@@ -24,118 +24,118 @@
 
 def test_an_executor_whose_machine_is_down_has_ended() -> None:
     """Waiting for its leases would help nobody."""
-    bench, executors = bench_of("i-1", "i-2", "i-3")
-    executors[0].silent_since = bench.now
-    asked = bench.now + LATER
+    harness, executors = bench_of("i-1", "i-2", "i-3")
+    executors[0].unresponsive_since = harness.now
+    asked = harness.now + LATER
     assert in_doubt(executors, asked) == [executors[0]]
     assert losses(executors, listing("i-2", "i-3", down=("i-1",)), asked).ended == [executors[0]]
 
 
 def test_an_executor_whose_machine_carries_another_one_has_ended() -> None:
-    bench, executors = bench_of("i-1", "i-2")
-    executors[0].silent_since = bench.now
+    harness, executors = bench_of("i-1", "i-2")
+    executors[0].unresponsive_since = harness.now
     listed = {"m-i-1": "i-9", "m-i-2": "i-2"}
-    assert losses(executors, listed, bench.now + LATER).ended == [executors[0]]
+    assert losses(executors, listed, harness.now + LATER).ended == [executors[0]]
 
 
 def test_an_executor_whose_machine_is_not_listed_is_only_missing() -> None:
     """The machine is gone for good, or the list was incomplete this time."""
-    bench, executors = bench_of("i-1", "i-2", "i-3")
-    executors[0].silent_since = bench.now
-    found = losses(executors, listing("i-2", "i-3"), bench.now + LATER)
+    harness, executors = bench_of("i-1", "i-2", "i-3")
+    executors[0].unresponsive_since = harness.now
+    found = losses(executors, listing("i-2", "i-3"), harness.now + LATER)
     assert found == Losses(ended=[], missing=[executors[0]])
 
 
 def test_an_executor_behind_a_broken_path_is_waited_for() -> None:
     """Its machine is up. It runs on until its leases expire, and its tasks would run twice."""
-    bench, executors = bench_of("i-1", "i-2")
-    executors[0].silent_since = bench.now
-    assert losses(executors, listing("i-1", "i-2"), bench.now + LATER) == Losses()
+    harness, executors = bench_of("i-1", "i-2")
+    executors[0].unresponsive_since = harness.now
+    assert losses(executors, listing("i-1", "i-2"), harness.now + LATER) == Losses()
 
 
 def test_a_list_from_before_an_executor_came_proves_nothing_of_it() -> None:
     """The list is behind, and the executor answers nothing right after it has come."""
-    bench, executors = bench_of("i-1", "i-2")
-    executors[0].silent_since = bench.now
-    executors[1].known_since = bench.now - LATER
+    harness, executors = bench_of("i-1", "i-2")
+    executors[0].unresponsive_since = harness.now
+    executors[1].tracked_since = harness.now - LATER
     listed = listing("i-2", down=("i-1",))
-    assert losses(executors, listed, bench.now + LISTED_AFTER / 2) == Losses()
+    assert losses(executors, listed, harness.now + LISTED_AFTER / 2) == Losses()
 
 
 def test_a_new_life_under_an_old_id_is_not_ended_by_a_list_from_before() -> None:
     """An executor has started again under its id and answers nothing yet."""
-    bench, executors = bench_of("i-1", "i-2")
-    executors[0].begin_life(bench.now + LATER)
+    harness, executors = bench_of("i-1", "i-2")
+    executors[0].begin_incarnation(harness.now + LATER)
     listed = listing("i-2", down=("i-1",))
-    assert losses(executors, listed, bench.now + LATER + LISTED_AFTER / 2) == Losses()
+    assert losses(executors, listed, harness.now + LATER + LISTED_AFTER / 2) == Losses()
 
 
 def test_an_executor_that_answers_is_alive_whatever_the_list_says() -> None:
     """The list misses an executor that reports its work."""
-    bench, executors = bench_of("i-1", "i-2", "i-3", "i-4")
-    assert losses(executors, listing("i-2", "i-3", "i-4"), bench.now + LATER) == Losses()
+    harness, executors = bench_of("i-1", "i-2", "i-3", "i-4")
+    assert losses(executors, listing("i-2", "i-3", "i-4"), harness.now + LATER) == Losses()
 
 
 def test_a_list_that_misses_what_answers_is_not_believed() -> None:
     """The list is empty, or a page of it is missing: a fault of the service, not of the fleet."""
-    bench, executors = bench_of("i-1", "i-2", "i-3", "i-4", "i-5")
-    executors[0].silent_since = bench.now
+    harness, executors = bench_of("i-1", "i-2", "i-3", "i-4", "i-5")
+    executors[0].unresponsive_since = harness.now
     for living in ((), ("i-2",), ("i-2", "i-3")):
-        assert losses(executors, listing(*living, down=("i-1",)), bench.now + LATER) == Losses()
+        assert losses(executors, listing(*living, down=("i-1",)), harness.now + LATER) == Losses()
     listed = listing("i-2", "i-3", "i-4", down=("i-1",))
-    assert losses(executors, listed, bench.now + LATER).ended == [executors[0]]
+    assert losses(executors, listed, harness.now + LATER).ended == [executors[0]]
 
 
 def test_without_any_executor_in_touch_no_list_is_believed() -> None:
     """Nothing shows that the list tells of this fleet as it is."""
-    bench, executors = bench_of("i-1", "i-2")
+    harness, executors = bench_of("i-1", "i-2")
     for executor in executors:
-        executor.silent_since = bench.now
-    assert losses(executors, listing("i-2", down=("i-1",)), bench.now + LATER) == Losses()
+        executor.unresponsive_since = harness.now
+    assert losses(executors, listing("i-2", down=("i-1",)), harness.now + LATER) == Losses()
 
 
 def test_executors_that_run_nothing_are_not_asked_about() -> None:
     """Readings of the list have a price, and nobody waits for an idle executor."""
-    bench = Bench(facts("i-1"))
-    executors = list(bench.shard.ledger.executors.values())
-    executors[0].silent_since = bench.now
-    assert in_doubt(executors, bench.now + LATER) == []
+    harness = ShardHarness(facts("i-1"))
+    executors = list(harness.shard.ledger.executors.values())
+    executors[0].unresponsive_since = harness.now
+    assert in_doubt(executors, harness.now + LATER) == []
 
 
 def test_executors_that_have_just_come_do_not_speak_against_a_list() -> None:
     """A peak brings many machines, and the list is behind. For as long as they come, no machine
     that is down would be believed to be, and lasting tasks wait for the leases of its executor."""
-    bench, executors = bench_of("i-1", "i-2", "i-3")
-    executors[0].silent_since = bench.now
-    asked = bench.now + LATER
-    bench.now = asked - LISTED_AFTER / 4
+    harness, executors = bench_of("i-1", "i-2", "i-3")
+    executors[0].unresponsive_since = harness.now
+    asked = harness.now + LATER
+    harness.now = asked - LISTED_AFTER / 4
     for number in range(4):
-        bench.register(facts(f"new-{number}"))
-    fleet = list(bench.shard.ledger.executors.values())
+        harness.register(facts(f"new-{number}"))
+    fleet = list(harness.shard.ledger.executors.values())
     assert losses(fleet, listing("i-2", "i-3", down=("i-1",)), asked).ended == [executors[0]]
 
 
 def test_executors_that_have_just_come_do_not_speak_for_a_list() -> None:
     """The list misses most of those that have answered for long. Newcomers that it names must not
     outvote them."""
-    bench, executors = bench_of("i-1", "i-2", "i-3", "i-4")
-    executors[0].silent_since = bench.now
-    asked = bench.now + LATER
-    bench.now = asked - LISTED_AFTER / 4
+    harness, executors = bench_of("i-1", "i-2", "i-3", "i-4")
+    executors[0].unresponsive_since = harness.now
+    asked = harness.now + LATER
+    harness.now = asked - LISTED_AFTER / 4
     names = [f"new-{number}" for number in range(9)]
     for name in names:
-        bench.register(facts(name))
-    fleet = list(bench.shard.ledger.executors.values())
+        harness.register(facts(name))
+    fleet = list(harness.shard.ledger.executors.values())
     assert losses(fleet, listing("i-2", *names, down=("i-1",)), asked) == Losses()
 
 
 def test_where_all_have_just_come_they_speak_for_and_against_a_list() -> None:
     """An owner in its first seconds knows no executor in touch for longer."""
-    bench, executors = bench_of("i-1", "i-2", "i-3")
-    executors[0].silent_since = bench.now
-    asked = bench.now + LATER
+    harness, executors = bench_of("i-1", "i-2", "i-3")
+    executors[0].unresponsive_since = harness.now
+    asked = harness.now + LATER
     for executor in executors[1:]:
-        executor.known_since = asked - LISTED_AFTER / 4
+        executor.tracked_since = asked - LISTED_AFTER / 4
     assert losses(executors, listing("i-2", down=("i-1",)), asked) == Losses()
     listed = listing("i-2", "i-3", down=("i-1",))
     assert losses(executors, listed, asked).ended == [executors[0]]
--- a/vanillawell/tests/owner_memory_tests.py
+++ b/vanillawell/tests/owner_memory_tests.py
@@ -8,7 +8,7 @@
 import orjson
 
 from vanillawell.protocol.work_documents import WorkKeys, read_record, write_record
-from vanillawell.state.ledger import RecalledBound
+from vanillawell.state.ledger import InheritedLeaseBound
 from vanillawell.state.shard import Shard
 from vanillawell.state.work import Ending, JobState
 from vanillawell.tests.owner_series_tests import (
@@ -20,20 +20,20 @@
 from vanillawell.tests.scheduler_cluster import PREFIX, Cluster, until, with_cluster
 from vanillawell.tests.scheduler_cluster import job as body_of_job
 from vanillawell.tests.scheduler_cluster import step as step_in_body
-from vanillawell.tests.scheduling_builders import Bench, facts, job, step
+from vanillawell.tests.scheduling_builders import ShardHarness, facts, job, step
 
 WAVE = 4.0
 """Seconds in which each machine of a wave is to have its upkeep."""
 
 
-def succeed(bench: Bench, *names: str, machine: str = "", life: int = 0) -> Bench:
+def succeed(harness: ShardHarness, *names: str, machine: str = "", life: int = 0) -> ShardHarness:
     """Return the shard of a new owner, with the same executors and what the store holds.
 
     The others lived on a `machine`, in a `life`, as far as the store tells.
     """
-    after = Bench(*(facts(name) for name in names))
-    bound = RecalledBound(after.now + 9.0, after.now, machine, life)
-    for record in bench.shard.board.jobs.values():
+    after = ShardHarness(*(facts(name) for name in names))
+    bound = InheritedLeaseBound(after.now + 9.0, after.now, machine, life)
+    for record in harness.shard.job_table.jobs.values():
         read, runs = read_record(record.job, write_record(record), after.now, after.now)
         after.shard.restore(read, runs, lambda _: bound)
     assert isinstance(after.shard, Shard)
@@ -43,11 +43,11 @@
 def test_a_task_is_not_tried_again_where_it_failed_after_a_change_of_owner() -> None:
     """An executor fails all that it starts. The owner is replaced before the next try, and the new
     one begins on the same executor until the job has failed, with a sound one beside it."""
-    bench = Bench(facts("i-1"), facts("i-2"))
-    bench.admit(job())
-    first = bench.place()[0]
-    bench.end(first, Ending.FAILED)
-    after = succeed(bench, "i-1", "i-2")
+    harness = ShardHarness(facts("i-1"), facts("i-2"))
+    harness.admit(job())
+    first = harness.place()[0]
+    harness.end(first, Ending.FAILED)
+    after = succeed(harness, "i-1", "i-2")
     again = after.place()[0]
     assert again.executor != first.executor
 
@@ -71,12 +71,14 @@
 
 def test_the_sole_owner_tries_elsewhere_what_has_failed() -> None:
     """Without a change of owner the second try goes to the sound executor."""
-    bench = Bench(facts("i-1"), facts("i-2"))
-    bench.admit(job())
-    first = bench.place()[0]
-    bench.end(first, Ending.FAILED)
-    assert bench.place()[0].executor != first.executor
-    assert all(record.state is not JobState.FAILED for record in bench.shard.board.jobs.values())
+    harness = ShardHarness(facts("i-1"), facts("i-2"))
+    harness.admit(job())
+    first = harness.place()[0]
+    harness.end(first, Ending.FAILED)
+    assert harness.place()[0].executor != first.executor
+    assert all(
+        record.state is not JobState.FAILED for record in harness.shard.job_table.jobs.values()
+    )
 
 
 @with_cluster(members=2, executors=1)
@@ -119,15 +121,15 @@
 def test_records_of_versions_that_did_not_store_where_tasks_failed_stay_readable() -> None:
     """Entries of two versions own a shard in turn during an update. A record that either of them
     could not read would take its job away from everybody."""
-    bench = Bench(facts("i-1"))
+    harness = ShardHarness(facts("i-1"))
     item = job()
-    bench.admit(item)
-    bench.end(bench.place()[0], Ending.FAILED)
-    document = orjson.loads(write_record(bench.shard.board.jobs[item.job_id]))
+    harness.admit(item)
+    harness.end(harness.place()[0], Ending.FAILED)
+    document = orjson.loads(write_record(harness.shard.job_table.jobs[item.job_id]))
     (step,) = document["occurrences"]["0"]
     assert step["tasks"] == {"0": [1, 1, "", None]}
     assert step.pop("failed_on") == {"0": "i-1"}
-    record, runs = read_record(item, orjson.dumps(document), bench.now, bench.now)
+    record, runs = read_record(item, orjson.dumps(document), harness.now, harness.now)
     (task,) = record.occurrences[0][0].tasks
     assert (task.number, task.failures, task.failed_on, runs) == (1, 1, "", [])
 
@@ -198,11 +200,11 @@
     await until(lambda: built.audit.started[task] == 2, 3.0)
 
 
-def _with_a_lasting_run() -> Bench:
-    bench = Bench(facts("i-1", incarnation=5))
-    bench.admit(job(step(long_running=True)))
-    assert len(bench.place()) == 1
-    return bench
+def _with_a_lasting_run() -> ShardHarness:
+    harness = ShardHarness(facts("i-1", incarnation=5))
+    harness.admit(job(step(long_running=True)))
+    assert len(harness.place()) == 1
+    return harness
 
 
 def test_the_next_executor_on_the_machine_of_one_that_is_gone_ends_its_runs() -> None:
--- a/vanillawell/tests/pool_demand_tests.py
+++ b/vanillawell/tests/pool_demand_tests.py
@@ -5,7 +5,7 @@
 from vanillawell.coordination.pool_demand import MachineView
 from vanillawell.protocol.machine_calls import Machine, MachineState
 from vanillawell.state.executors import Executor
-from vanillawell.tests.scheduling_builders import Bench, facts
+from vanillawell.tests.scheduling_builders import ShardHarness, facts
 
 POOL = facts("any").service
 
@@ -20,8 +20,8 @@
 
 def lives(*names: str) -> dict[str, Executor]:
     """Return executors that are registered and answer, by machine; `i-1` lives on `m1`."""
-    bench = Bench(*(facts(name, machine=name.replace("i-", "m")) for name in names))
-    return bench.shard.ledger.by_machine()
+    harness = ShardHarness(*(facts(name, machine=name.replace("i-", "m")) for name in names))
+    return harness.shard.ledger.by_machine()
 
 
 def view(
--- a/vanillawell/tests/scheduling_builders.py
+++ b/vanillawell/tests/scheduling_builders.py
@@ -82,7 +82,7 @@
         return self.shown
 
 
-class Bench:
+class ShardHarness:
     """A shard with executors that do what they are told at once."""
 
     def __init__(self, *executors: ExecutorFacts, **changes: Any) -> None:
@@ -110,7 +110,7 @@
         self.shard.place(self.now, self.now)
         runs, self.shard.outbox.planned = self.shard.outbox.planned, []
         for run in runs:
-            run.enter(RunPhase.RUNNING, self.now)
+            run.enter_phase(RunPhase.RUNNING, self.now)
             run.started = self.now
         return runs
 
@@ -119,7 +119,7 @@
         executor = self.shard.ledger.executors[run.executor]
         row = EndRow(executor.seen_end + 1, run.task.task_id, run.number, ending, "")
         report = HoldReport(0.0, executor.facts.incarnation, [], [row])
-        sent = min(self.now, run.since)
+        sent = min(self.now, run.phase_since)
         self.shard.take_report(executor, report, sent, self.now, self.now)
 
 
--- a/vanillawell/tests/shard_machine_tests.py
+++ b/vanillawell/tests/shard_machine_tests.py
@@ -14,9 +14,9 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from vanillawell.protocol.executor_calls import HoldReport, RunningRow
-from vanillawell.state.work import NOTHING, Ending, JobState, Resources, Run, RunPhase, Step
+from vanillawell.state.work import NO_RESOURCES, Ending, JobState, Resources, Run, RunPhase, Step
 from vanillawell.state.work_policy import OrganisationLimits
-from vanillawell.tests.scheduling_builders import Bench, facts, job
+from vanillawell.tests.scheduling_builders import ShardHarness, facts, job
 
 CPU = 4_000
 MAXIMUM = 6_000
@@ -54,11 +54,11 @@
     def begin(self) -> None:
         limits = {
             "north": OrganisationLimits("north", 1, Resources(MAXIMUM)),
-            "south": OrganisationLimits("south", 1, NOTHING),
+            "south": OrganisationLimits("south", 1, NO_RESOURCES),
         }
         names = ("i-0", "i-1", "i-2")
-        self.bench = Bench(*(facts(name, CPU) for name in names), organisations=limits)
-        self.shard = self.bench.shard
+        self.harness = ShardHarness(*(facts(name, CPU) for name in names), organisations=limits)
+        self.shard = self.harness.shard
         self.lives = Counter(dict.fromkeys(names, 1))
         self.starts: list[Run] = []
         self.done: set[object] = set()
@@ -74,13 +74,13 @@
             replace(item, after=(number - 1,) if chained and number else ())
             for number, item in enumerate(steps)
         ]
-        self.bench.admit(job(*linked, organisation=organisation))
+        self.harness.admit(job(*linked, organisation=organisation))
 
     @rule(seconds=st.floats(0.01, 3.0))
     def place(self, seconds: float) -> None:
-        self.bench.now += seconds
+        self.harness.now += seconds
         before = set(self.shard.ledger.runs())
-        for run in self.bench.place():
+        for run in self.harness.place():
             assert run not in before
             self._check_start(run)
             self.starts.append(run)
@@ -108,13 +108,13 @@
         run = data.draw(st.sampled_from(self._runs(RunPhase.RUNNING)))
         if ending is Ending.DONE and not run.task.step.spec.long_running:
             self.done.add(run.task.task_id)
-        self.bench.end(run, ending)
+        self.harness.end(run, ending)
 
     @precondition(lambda self: self._runs(RunPhase.RUNNING))
     @rule(data=st.data())
     def lose_the_answer(self, data: st.DataObject) -> None:
         run = data.draw(st.sampled_from(self._runs(RunPhase.RUNNING)))
-        run.enter(RunPhase.UNCERTAIN, self.bench.now)
+        run.enter_phase(RunPhase.UNCERTAIN, self.harness.now)
         self.doubtful.add(run)
 
     @precondition(lambda self: self._runs(RunPhase.UNCERTAIN))
@@ -128,7 +128,7 @@
             for other in executor.runs.values()
             if other is not run
         ]
-        now = self.bench.now = self.bench.now + 0.1
+        now = self.harness.now = self.harness.now + 0.1
         report = HoldReport(0.0, executor.facts.incarnation, present, [])
         self.shard.take_report(executor, report, now, now, now)
 
@@ -137,10 +137,10 @@
     def settle(self, data: st.DataObject) -> None:
         """Confirm a stop, then let the executor report without the run."""
         run = data.draw(st.sampled_from(self._runs(RunPhase.UNCERTAIN)))
-        run.stop_confirmed = self.bench.now
+        run.stop_confirmed = self.harness.now
         self.doubtful.discard(run)
         executor = self.shard.ledger.executors[run.executor]
-        now = self.bench.now = self.bench.now + 0.1
+        now = self.harness.now = self.harness.now + 0.1
         self.shard.take_report(
             executor, HoldReport(0.0, executor.facts.incarnation, [], []), now, now, now
         )
@@ -150,28 +150,28 @@
         """Crash an executor; its next life reports that it runs nothing."""
         self.lives[name] += 1
         self._forget_doubts(name)
-        executor = self.bench.register(facts(name, CPU, incarnation=self.lives[name]))
-        now = self.bench.now = self.bench.now + 0.1
+        executor = self.harness.register(facts(name, CPU, incarnation=self.lives[name]))
+        now = self.harness.now = self.harness.now + 0.1
         self.shard.take_report(
             executor, HoldReport(0.0, self.lives[name], [], []), now + 0.01, now + 0.02, now
         )
 
     @rule(name=st.sampled_from(("i-0", "i-1", "i-2")), over=st.booleans())
-    def fall_silent(self, name: str, over: bool) -> None:
+    def mark_unresponsive(self, name: str, over: bool) -> None:
         executor = self.shard.ledger.executors.get(name)
         if executor is None:
             return
         self.shard.ledger.unregister(name)
-        executor.lease_over = self.bench.now + (0.0 if over else LEASE)
+        executor.lease_expires_at = self.harness.now + (0.0 if over else LEASE)
         self._expire()
 
     def _expire(self) -> None:
         """Renew the leases of executors in touch, as their drivers do, and let others run out."""
-        now = self.bench.now
+        now = self.harness.now
         for executor in self.shard.ledger.executors.values():
-            if executor.registered and executor.silent_since is None:
-                executor.lease_over = now + LEASE
-            elif executor.lease_over <= now:
+            if executor.registered and executor.unresponsive_since is None:
+                executor.lease_expires_at = now + LEASE
+            elif executor.lease_expires_at <= now:
                 self._forget_doubts(executor.name)
         self.shard.expire(now, now)
 
@@ -179,24 +179,24 @@
     def lose_touch(self, name: str) -> None:
         """Cut the path to an executor, which runs on."""
         executor = self.shard.ledger.executors.get(name)
-        if executor is None or executor.silent_since is not None:
+        if executor is None or executor.unresponsive_since is not None:
             return
-        executor.fall_silent()
-        executor.silent_since = self.bench.now
-        executor.lease_over = self.bench.now + LEASE
+        executor.mark_unresponsive()
+        executor.unresponsive_since = self.harness.now
+        executor.lease_expires_at = self.harness.now + LEASE
 
     @rule(name=st.sampled_from(("i-0", "i-1", "i-2")))
     def answer_again(self, name: str) -> None:
         executor = self.shard.ledger.executors.get(name)
-        if executor is None or executor.silent_since is None:
+        if executor is None or executor.unresponsive_since is None:
             return
-        executor.silent_since = None
+        executor.unresponsive_since = None
         running = [
             RunningRow(run.task.task_id, run.number, "", 100, 0.0)
             for run in executor.runs.values()
             if run.phase is RunPhase.RUNNING
         ]
-        now = self.bench.now = self.bench.now + 0.1
+        now = self.harness.now = self.harness.now + 0.1
         report = HoldReport(0.0, executor.facts.incarnation, running, [])
         self.shard.take_report(executor, report, now, now, now)
 
@@ -206,21 +206,21 @@
 
     @rule(name=st.sampled_from(("i-0", "i-1", "i-2")))
     def come_back(self, name: str) -> None:
-        self.bench.register(facts(name, CPU, incarnation=self.lives[name]))
+        self.harness.register(facts(name, CPU, incarnation=self.lives[name]))
 
-    @precondition(lambda self: self.shard.board.jobs)
+    @precondition(lambda self: self.shard.job_table.jobs)
     @rule(data=st.data())
     def cancel(self, data: st.DataObject) -> None:
-        job_id = data.draw(st.sampled_from(sorted(self.shard.board.jobs)))
-        self.shard.cancel(job_id, self.bench.now)
+        job_id = data.draw(st.sampled_from(sorted(self.shard.job_table.jobs)))
+        self.shard.cancel(job_id, self.harness.now)
 
     @invariant()
     def charges_add_up(self) -> None:
         if not hasattr(self, "shard"):
             return
-        total = NOTHING
+        total = NO_RESOURCES
         for executor in self.shard.ledger.executors.values():
-            used = NOTHING
+            used = NO_RESOURCES
             for run in executor.runs.values():
                 used += run.reserved
                 total += run.task.step.spec.need
@@ -252,7 +252,7 @@
     def states_tell_the_truth(self) -> None:
         if not hasattr(self, "shard"):
             return
-        for record in self.shard.board.jobs.values():
+        for record in self.shard.job_table.jobs.values():
             steps = [step for steps in record.occurrences.values() for step in steps]
             if record.state is JobState.COMPLETED:
                 assert all(task.done for step in steps for task in step.tasks)
--- a/vanillawell/tests/stalls_tests.py
+++ b/vanillawell/tests/stalls_tests.py
@@ -4,72 +4,72 @@
 
 from vanillawell.protocol.executor_calls import HoldReport, RunningRow
 from vanillawell.state.work import Run
-from vanillawell.tests.scheduling_builders import Bench, facts, job, step
+from vanillawell.tests.scheduling_builders import ShardHarness, facts, job, step
 
 
-def _report(bench: Bench, runs: list[Run], percents: list[int]) -> list[Run]:
+def _report(harness: ShardHarness, runs: list[Run], percents: list[int]) -> list[Run]:
     """Let an executor report how far runs have come; returns the runs that are to be stopped."""
-    executor = bench.shard.ledger.executors[runs[0].executor]
+    executor = harness.shard.ledger.executors[runs[0].executor]
     rows = [
         RunningRow(run.task.task_id, run.number, "", percent, 0.0)
         for run, percent in zip(runs, percents, strict=True)
     ]
     report = HoldReport(0.0, executor.facts.incarnation, rows, [])
-    bench.shard.take_report(executor, report, bench.now, bench.now, bench.now)
-    stops, bench.shard.outbox.stops = bench.shard.outbox.stops, []
+    harness.shard.take_report(executor, report, harness.now, harness.now, harness.now)
+    stops, harness.shard.outbox.stops = harness.shard.outbox.stops, []
     return stops
 
 
 def test_tasks_that_all_stand_still_are_started_elsewhere() -> None:
     """An executor answers each call and lists its tasks as running, and none of them moves on.
     Their jobs would be late by as long as it takes to recover, and later tasks with them."""
-    bench = Bench(facts("i-0"), facts("i-1"))
-    bench.admit(job(step(3)))
-    runs = bench.place()
-    assert _report(bench, runs, [30, 10, 0]) == []
-    bench.now += 0.5
-    assert _report(bench, runs, [30, 10, 0]) == []
-    bench.now += 0.5
-    assert _report(bench, runs, [30, 10, 0]) == runs
-    bench.admit(job(step()))
-    assert {run.executor for run in bench.place()}.isdisjoint({runs[0].executor})
+    harness = ShardHarness(facts("i-0"), facts("i-1"))
+    harness.admit(job(step(3)))
+    runs = harness.place()
+    assert _report(harness, runs, [30, 10, 0]) == []
+    harness.now += 0.5
+    assert _report(harness, runs, [30, 10, 0]) == []
+    harness.now += 0.5
+    assert _report(harness, runs, [30, 10, 0]) == runs
+    harness.admit(job(step()))
+    assert {run.executor for run in harness.place()}.isdisjoint({runs[0].executor})
 
 
 def test_new_tasks_do_not_hide_a_stall() -> None:
     """Work goes on being placed on an executor that stands still until that is noticed."""
-    bench = Bench(facts("i-0"))
-    bench.admit(job(step(2)))
-    runs = bench.place()
+    harness = ShardHarness(facts("i-0"))
+    harness.admit(job(step(2)))
+    runs = harness.place()
     for number in range(3):
-        assert _report(bench, runs, [40, 40, *[0] * number]) == ([] if number < 2 else runs[:2])
-        bench.now += 0.5
-        bench.admit(job(step()))
-        runs += bench.place()
+        assert _report(harness, runs, [40, 40, *[0] * number]) == ([] if number < 2 else runs[:2])
+        harness.now += 0.5
+        harness.admit(job(step()))
+        runs += harness.place()
 
 
 def test_slow_tasks_are_left_where_they_are() -> None:
-    bench = Bench(facts("i-0"))
-    bench.admit(job(step(2)))
-    runs = bench.place()
+    harness = ShardHarness(facts("i-0"))
+    harness.admit(job(step(2)))
+    runs = harness.place()
     for percent in range(0, 30, 3):
-        assert _report(bench, runs, [percent, 50]) == []
-        bench.now += 0.5
+        assert _report(harness, runs, [percent, 50]) == []
+        harness.now += 0.5
 
 
 def test_a_task_that_stands_still_alone_is_left_where_it_is() -> None:
     """One task that waits for something of its own says nothing of its executor."""
-    bench = Bench(facts("i-0"))
-    bench.admit(job(step(2)))
-    runs = bench.place()
+    harness = ShardHarness(facts("i-0"))
+    harness.admit(job(step(2)))
+    runs = harness.place()
     for percent in range(0, 60, 20):
-        assert _report(bench, runs, [40, percent]) == []
-        bench.now += 0.9
+        assert _report(harness, runs, [40, percent]) == []
+        harness.now += 0.9
 
 
 def test_tasks_that_last_or_take_minutes_are_given_their_time() -> None:
-    bench = Bench(facts("i-0"))
-    bench.admit(job(step(2, long_running=True)), job(step(2, seconds=60.0)))
-    runs = bench.place()
-    _report(bench, runs, [100, 100, 1, 1])
-    bench.now += 2.0
-    assert _report(bench, runs, [100, 100, 1, 1]) == []
+    harness = ShardHarness(facts("i-0"))
+    harness.admit(job(step(2, long_running=True)), job(step(2, seconds=60.0)))
+    runs = harness.place()
+    _report(harness, runs, [100, 100, 1, 1])
+    harness.now += 2.0
+    assert _report(harness, runs, [100, 100, 1, 1]) == []
--- a/vanillawell/tests/stop_sender_tests.py
+++ b/vanillawell/tests/stop_sender_tests.py
@@ -7,9 +7,9 @@
 from typing import TYPE_CHECKING, Any
 
 from vanillawell.coordination.stop_sender import StopSender
-from vanillawell.state.outbox import StrayStop
+from vanillawell.state.outbox import OrphanedRun
 from vanillawell.state.work import Ending
-from vanillawell.tests.scheduling_builders import Bench, facts, job, step
+from vanillawell.tests.scheduling_builders import ShardHarness, facts, job, step
 
 if TYPE_CHECKING:
     import pytest
@@ -23,13 +23,13 @@
     """Note the stops that a driver is given."""
 
     stopped: list[Run] = field(default_factory=list)
-    strays: list[StrayStop] = field(default_factory=list)
+    orphans: list[OrphanedRun] = field(default_factory=list)
 
     def stop(self, run: Run) -> None:
         self.stopped.append(run)
 
-    def stop_stray(self, stray: StrayStop) -> None:
-        self.strays.append(stray)
+    def stop_orphan(self, stray: OrphanedRun) -> None:
+        self.orphans.append(stray)
 
 
 @dataclass
@@ -54,28 +54,28 @@
     """A shard with one run, and the sender of its stops."""
 
     def __init__(self) -> None:
-        self.bench = Bench(facts("i-0"))
-        self.bench.admit(job(step(long_running=True)))
-        (self.run,) = self.bench.place()
+        self.harness = ShardHarness(facts("i-0"))
+        self.harness.admit(job(step(long_running=True)))
+        (self.run,) = self.harness.place()
         self.drivers: dict[str, NotingDriver] = {}
         self.term = FixedTerm()
         fields: tuple[Any, ...] = (self.term, self.drivers)
-        self.sender = StopSender(self.bench.shard, *fields)
+        self.sender = StopSender(self.harness.shard, *fields)
 
     def drive(self) -> NotedOrders:
         """Give the executor its driver."""
-        driver = NotingDriver(self.bench.shard.ledger.executors["i-0"])
+        driver = NotingDriver(self.harness.shard.ledger.executors["i-0"])
         self.drivers["i-0"] = driver
         return driver.orders
 
     def send(self) -> None:
-        self.sender.send(self.bench.now)
+        self.sender.send(self.harness.now)
 
 
 def test_a_stop_is_sent_once() -> None:
     sending = Sending()
     orders = sending.drive()
-    sending.bench.shard.want_stop(sending.run)
+    sending.harness.shard.request_stop(sending.run)
     for _ in range(2):
         sending.send()
     assert orders.stopped == [sending.run]
@@ -86,7 +86,7 @@
     stop would never be wanted again, and the run would go on for as long as its lease is renewed.
     """
     sending = Sending()
-    sending.bench.shard.want_stop(sending.run)
+    sending.harness.shard.request_stop(sending.run)
     with caplog.at_level(logging.WARNING):
         for _ in range(3):
             sending.send()
@@ -101,8 +101,8 @@
     sending = Sending()
     former = sending.drive()
     former_driver = sending.drivers["i-0"]
-    former_driver.executor = Bench(facts("i-0")).shard.ledger.executors["i-0"]
-    sending.bench.shard.want_stop(sending.run)
+    former_driver.executor = ShardHarness(facts("i-0")).shard.ledger.executors["i-0"]
+    sending.harness.shard.request_stop(sending.run)
     sending.send()
     assert former.stopped == []
     orders = sending.drive()
@@ -115,7 +115,7 @@
     sending = Sending()
     orders = sending.drive()
     sending.term.held = False
-    sending.bench.shard.want_stop(sending.run)
+    sending.harness.shard.request_stop(sending.run)
     sending.send()
     assert orders.stopped == []
     sending.term.held = True
@@ -126,13 +126,13 @@
 def test_a_run_that_is_over_is_not_stopped() -> None:
     """Its end was reported while the stop waited."""
     sending = Sending()
-    sending.bench.shard.want_stop(sending.run)
+    sending.harness.shard.request_stop(sending.run)
     sending.send()
-    sending.bench.end(sending.run, Ending.STOPPED)
+    sending.harness.end(sending.run, Ending.STOPPED)
     orders = sending.drive()
     sending.send()
     assert orders.stopped == []
-    assert sending.bench.shard.outbox.stops == []
+    assert sending.harness.shard.outbox.stops == []
 
 
 def test_what_no_task_wants_is_stopped_even_while_the_lease_has_lapsed() -> None:
@@ -140,7 +140,7 @@
     sending = Sending()
     orders = sending.drive()
     sending.term.held = False
-    stray = StrayStop("i-0", sending.run.task.task_id, 7)
-    sending.bench.shard.outbox.stop_stray(stray)
+    stray = OrphanedRun("i-0", sending.run.task.task_id, 7)
+    sending.harness.shard.outbox.stop_orphan(stray)
     sending.send()
-    assert orders.strays == [stray]
+    assert orders.orphans == [stray]
--- a/vanillawell/tests/trial_placement_tests.py
+++ b/vanillawell/tests/trial_placement_tests.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from vanillawell.state.trial_placement import machines_lacking
+from vanillawell.state.trial_placement import count_missing_machines
 from vanillawell.state.work import Resources, Step
-from vanillawell.tests.scheduling_builders import Bench, facts, job, step
+from vanillawell.tests.scheduling_builders import ShardHarness, facts, job, step
 
 HOME = 6
 """Machines that the pool has."""
@@ -14,24 +14,24 @@
     """Two lasting jobs of six tasks share a pool, and a machine's memory holds one task of each at
     most. Sized by processors and by the widest step alone, the pool stayed at six machines, and the
     second job waited for ten seconds while standby was full."""
-    bench = Bench(*(facts(f"i-{number}") for number in range(HOME)))
+    harness = ShardHarness(*(facts(f"i-{number}") for number in range(HOME)))
     wide = Step(HOME, Resources(1_000, 40_000), 1.0, long_running=True, most_per_executor=1)
-    bench.admit(job(wide))
-    bench.place()
-    bench.admit(job(wide))
-    bench.place()
-    executors = list(bench.shard.ledger.executors.values())
-    steps = list(bench.shard.board.open_steps)
+    harness.admit(job(wide))
+    harness.place()
+    harness.admit(job(wide))
+    harness.place()
+    executors = list(harness.shard.ledger.executors.values())
+    steps = list(harness.shard.job_table.open_steps)
     size = executors[0].facts.capacity
-    assert machines_lacking(executors, 0, size, steps) == HOME
-    assert machines_lacking(executors, HOME - 1, size, steps) == 1
-    assert machines_lacking(executors, HOME, size, steps) == 0
+    assert count_missing_machines(executors, 0, size, steps) == HOME
+    assert count_missing_machines(executors, HOME - 1, size, steps) == 1
+    assert count_missing_machines(executors, HOME, size, steps) == 0
 
 
 def test_no_machine_is_called_for_a_task_that_fits_none() -> None:
     """A task that asks for more than a machine offers would call one after the other."""
-    bench = Bench(facts("i-0"))
-    bench.admit(job(step(1, cpu=9_000, long_running=True)))
-    bench.place()
+    harness = ShardHarness(facts("i-0"))
+    harness.admit(job(step(1, cpu=9_000, long_running=True)))
+    harness.place()
     size = facts("i-0").capacity
-    assert machines_lacking([], 0, size, list(bench.shard.board.open_steps)) == 0
+    assert count_missing_machines([], 0, size, list(harness.shard.job_table.open_steps)) == 0
--- a/vanillawell/tests/turning_load.py
+++ b/vanillawell/tests/turning_load.py
@@ -23,7 +23,7 @@
 )
 from vanillawell.state.work import Job, JobState, Resources, Step, StepProgress
 from vanillawell.state.work_policy import Queue, Service
-from vanillawell.tests.scheduling_builders import Bench, facts
+from vanillawell.tests.scheduling_builders import ShardHarness, facts
 
 if TYPE_CHECKING:
     from vanillawell.state.executors import Executor
@@ -104,7 +104,9 @@
     """Play one day."""
 
     rng: random.Random
-    bench: Bench = field(default_factory=lambda: Bench(queues=_queues(), services=_services()))
+    harness: ShardHarness = field(
+        default_factory=lambda: ShardHarness(queues=_queues(), services=_services())
+    )
     pools: dict[str, str] = field(default_factory=dict)
     """Pool of each machine."""
 
@@ -129,17 +131,17 @@
             self._arrive(machine)
         lasting = Step(2, Resources(2_700, 14_000), 0.9, long_running=True, most_away=1)
         for queue in range(len(KINDS)):
-            self.bench.admit(self._job(queue, (lasting,)))
-        began = self.bench.now
+            self.harness.admit(self._job(queue, (lasting,)))
+        began = self.harness.now
         for tick in range(int((DAY_SECONDS + 8) / TICK)):
-            at = self.bench.now - began
+            at = self.harness.now - began
             if at < DAY_SECONDS:
                 self._hand_in(at)
                 self.machine_seconds += TICK * sum(pool != STANDBY for pool in self.pools.values())
             self._run(began)
             if tick % LOOK == 0:
                 self._look()
-            self.bench.now += TICK
+            self.harness.now += TICK
         return Outcome(list(self.jobs.values()), self.machine_seconds, self.moves)
 
     def _arrive(self, machine: str) -> None:
@@ -149,7 +151,7 @@
         name = f"{machine}-{next(self._numbers)}"
         size = Resources(CORES * 1_000, 131_072)
         rack = f"r{int(machine[1:]) // 4}"
-        self.bench.register(
+        self.harness.register(
             facts(name, rack=rack, service=pool, machine=machine, capacity=size),
         )
 
@@ -180,7 +182,7 @@
         )
         self.jobs[job.job_id] = Handed(at, work, 1.6 * sum(seconds) + 0.6)
         self.seconds.update({(job.job_id, number): own for number, own in enumerate(seconds)})
-        self.bench.admit(job)
+        self.harness.admit(job)
 
     def _spread(self, mean: float, spread: float) -> float:
         """Return a log-normal figure, at most three times its mean."""
@@ -189,14 +191,14 @@
 
     def _run(self, began: float) -> None:
         """Let tasks end and begin."""
-        now = self.bench.now
+        now = self.harness.now
         while self.running and self.running[0][0] <= now:
             _, _, run = heapq.heappop(self.running)
-            self.bench.end(run)
+            self.harness.end(run)
             record = run.task.step.record
             if record.state is JobState.COMPLETED:
                 self.jobs[record.job.job_id].done = now - began
-        for run in self.bench.place():
+        for run in self.harness.place():
             step = run.task.step
             if step.spec.long_running:
                 continue
@@ -206,7 +208,7 @@
 
     def _look(self) -> None:
         """Size the pools, as their owner does."""
-        now, shard = self.bench.now, self.bench.shard
+        now, shard = self.harness.now, self.harness.shard
         for machine in [name for name, at in self.arrivals.items() if at <= now]:
             del self.arrivals[machine]
             self._arrive(machine)
@@ -227,18 +229,20 @@
             self.moves += 1
             if move.machine in lives:
                 former = lives[move.machine].facts
-                shard.dead(former.executor, former.incarnation, now, now)
+                shard.mark_terminated(former.executor, former.incarnation, now, now)
             self.pools[move.machine] = move.pool
             self.arrivals[move.machine] = now + MOVE_SECONDS
 
     def _demand(self, pool: str, lives: dict[str, Executor], now: float) -> PoolDemand:
-        shard = self.bench.shard
+        shard = self.harness.shard
         own = [item for item in lives.values() if item.facts.service == pool]
         arriving = sum(self.pools[name] == pool for name in self.arrivals)
         steps: list[StepProgress] = [
-            step for step in shard.board.open_steps if f"p{step.record.job.queue[1:]}" == pool
+            step for step in shard.job_table.open_steps if f"p{step.record.job.queue[1:]}" == pool
         ]
-        wanted = max(demanded_cores(own, steps, shard.durations), shard.arrivals.cores(pool, now))
+        wanted = max(
+            demanded_cores(own, steps, shard.durations), shard.arrivals.required_cores(pool, now)
+        )
         return PoolDemand(pool, len(own) + arriving, CORES, wanted, lasting_floor(steps))
 
 
--- a/vanillawell/tests/upkeep_tests.py
+++ b/vanillawell/tests/upkeep_tests.py
@@ -14,7 +14,7 @@
     to_close,
     to_stop,
 )
-from vanillawell.tests.scheduling_builders import Bench, facts, job, step
+from vanillawell.tests.scheduling_builders import ShardHarness, facts, job, step
 
 if TYPE_CHECKING:
     from vanillawell.state.work import Run
@@ -66,10 +66,10 @@
 
 
 def test_idle_machines_come_first_and_one_of_each_service_at_a_time() -> None:
-    bench = Bench(facts("i-0"), facts("i-1"), facts("i-2", service="other"))
-    bench.admit(job(step(1)))
-    bench.place()
-    machines = bench.shard.ledger.by_machine()
+    harness = ShardHarness(facts("i-0"), facts("i-1"), facts("i-2", service="other"))
+    harness.admit(job(step(1)))
+    harness.place()
+    machines = harness.shard.ledger.by_machine()
     chosen = to_close(_progress(*machines, most_away=3), machines, 0.0)
     assert len(chosen) == 2
     idle = next(name for name in ("m-i-0", "m-i-1") if not machines[name].runs)
@@ -79,8 +79,8 @@
 def test_a_large_pool_has_more_machines_emptied_at_a_time() -> None:
     """A wave asks for the upkeep of half of 60 machines in a pool. Emptied one after the other, two
     seconds and more each, most of them would have their upkeep too late."""
-    bench = Bench(*(facts(f"i-{number}") for number in range(60)))
-    machines = bench.shard.ledger.by_machine()
+    harness = ShardHarness(*(facts(f"i-{number}") for number in range(60)))
+    machines = harness.shard.ledger.by_machine()
     progress = _progress(*list(machines)[:30], most_away=20)
     progress.closed = dict.fromkeys(to_close(progress, machines, 0.0), 0.0)
     assert len(progress.closed) == 6
@@ -92,10 +92,10 @@
 def test_machines_with_lasting_tasks_are_begun_with_at_once() -> None:
     """Lasting tasks leave one after the other, so that the machines that hold them take longest.
     Left for the end of a wave, they are late when an owner is lost or the store is away."""
-    bench = Bench(facts("i-0"), facts("i-1"), facts("i-2"))
-    bench.admit(job(step(1, long_running=True)))
-    (run,) = bench.place()
-    machines = bench.shard.ledger.by_machine()
+    harness = ShardHarness(facts("i-0"), facts("i-1"), facts("i-2"))
+    harness.admit(job(step(1, long_running=True)))
+    (run,) = harness.place()
+    machines = harness.shard.ledger.by_machine()
     chosen = to_close(_progress(*machines, most_away=3), machines, now=0.0)
     assert len(chosen) == 2
     assert f"m-{run.executor}" in chosen
@@ -104,19 +104,19 @@
 def test_many_machines_with_lasting_tasks_are_open_to_moves_at_a_time() -> None:
     """Twenty machines hold tasks of four steps, each of which moves one task in 1.6 s. With two in
     emptying, the other steps would have nothing to move, and the wave would take twice as long."""
-    bench = Bench(*(facts(f"i-{number}") for number in range(20)))
+    harness = ShardHarness(*(facts(f"i-{number}") for number in range(20)))
     for _ in range(4):
-        bench.admit(job(step(5, cpu=8_000, long_running=True, most_away=1, most_per_executor=1)))
-    bench.place()
-    machines = bench.shard.ledger.by_machine()
+        harness.admit(job(step(5, cpu=8_000, long_running=True, most_away=1, most_per_executor=1)))
+    harness.place()
+    machines = harness.shard.ledger.by_machine()
     assert len(to_close(_progress(*machines, most_away=20), machines, now=-20.0)) == 5
 
 
 def test_a_wave_that_is_behind_has_more_machines_emptied_at_a_time() -> None:
     """Owners were replaced in series, and six machines of a pool of twelve are left shortly before
     nothing is waited for any more. Emptied one after the other, the last would be late."""
-    bench = Bench(*(facts(f"i-{number}") for number in range(12)))
-    machines = bench.shard.ledger.by_machine()
+    harness = ShardHarness(*(facts(f"i-{number}") for number in range(12)))
+    machines = harness.shard.ledger.by_machine()
     progress = _progress(*list(machines)[:6], most_away=10)
     assert len(to_close(progress, machines, now=0.0)) == 2
     assert len(to_close(progress, machines, now=11.0)) == 5
@@ -126,21 +126,21 @@
 def test_a_lasting_task_moves_to_a_machine_that_a_wave_is_done_with() -> None:
     """Of two machines with room one has yet to be taken down. A task that moves there would be
     moved again seconds later, and be away twice."""
-    bench = Bench(facts("i-0"), facts("i-1"))
-    bench.shard.ledger.executors["i-0"].awaits_upkeep = True
-    bench.admit(job(step(1, long_running=True)))
-    (run,) = bench.place()
+    harness = ShardHarness(facts("i-0"), facts("i-1"))
+    harness.shard.ledger.executors["i-0"].awaits_upkeep = True
+    harness.admit(job(step(1, long_running=True)))
+    (run,) = harness.place()
     assert run.executor == "i-1"
 
 
 def test_no_more_lasting_tasks_are_taken_away_than_their_step_allows() -> None:
-    bench = Bench(facts("i-0"), facts("i-1"))
-    bench.admit(job(step(2, long_running=True, most_away=1, most_per_executor=1)))
-    first, second = bench.place()
-    first.at_work = True
-    executor = bench.shard.ledger.executors[first.executor]
+    harness = ShardHarness(facts("i-0"), facts("i-1"))
+    harness.admit(job(step(2, long_running=True, most_away=1, most_per_executor=1)))
+    first, second = harness.place()
+    first.is_available = True
+    executor = harness.shard.ledger.executors[first.executor]
     assert to_stop(executor, _anywhere) == []
-    second.at_work = True
+    second.is_available = True
     assert to_stop(executor, _anywhere) == [first]
     assert life_of(executor).startswith(executor.name)
 
@@ -149,10 +149,10 @@
     """A new owner has read from the store which tasks last, and no executor has reported yet. Both
     machines of a step that allows one absence are to be emptied. If a task that was not seen at
     work could be taken away freely, both would stop at once, and its users find nobody."""
-    bench = Bench(facts("i-0"), facts("i-1"))
-    bench.admit(job(step(2, long_running=True, most_away=1, most_per_executor=1)))
-    first, second = bench.place()
-    executors = bench.shard.ledger.executors
+    harness = ShardHarness(facts("i-0"), facts("i-1"))
+    harness.admit(job(step(2, long_running=True, most_away=1, most_per_executor=1)))
+    first, second = harness.place()
+    executors = harness.shard.ledger.executors
     assert to_stop(executors[first.executor], _anywhere) == []
     assert to_stop(executors[second.executor], _anywhere) == []
 
@@ -160,22 +160,22 @@
 def test_a_machine_with_two_tasks_of_a_step_is_not_taken_down_if_one_may_be_away() -> None:
     """Near the end of a wave's time nothing is waited for any more. Two tasks of a step share a
     machine; each alone could go, and its upkeep would end both."""
-    bench = Bench(facts("i-0"))
-    bench.admit(job(step(2, long_running=True, most_away=1)))
-    for run in bench.place():
-        run.at_work = True
-    (executor,) = bench.shard.ledger.executors.values()
-    assert not is_empty_enough(executor, since=0.0, hurried=True, now=bench.now)
+    harness = ShardHarness(facts("i-0"))
+    harness.admit(job(step(2, long_running=True, most_away=1)))
+    for run in harness.place():
+        run.is_available = True
+    (executor,) = harness.shard.ledger.executors.values()
+    assert not is_empty_enough(executor, since=0.0, hurried=True, now=harness.now)
 
 
 def test_a_second_order_counts_on_what_the_first_will_end() -> None:
     """A new owner repeats the orders for two machines side by side, each with a task of a step of
     which one may be away. Both answers are yet to come when the second is about to go out."""
-    bench = Bench(facts("i-0"), facts("i-1"))
-    bench.admit(job(step(2, long_running=True, most_away=1, most_per_executor=1)))
-    for run in bench.place():
-        run.at_work = True
-    first, second = bench.shard.ledger.executors.values()
+    harness = ShardHarness(facts("i-0"), facts("i-1"))
+    harness.admit(job(step(2, long_running=True, most_away=1, most_per_executor=1)))
+    for run in harness.place():
+        run.is_available = True
+    first, second = harness.shard.ledger.executors.values()
     assert may_lose_all(first) and may_lose_all(second)
     expect_loss(first)
     assert not may_lose_all(second)
@@ -184,18 +184,18 @@
 def test_a_lasting_task_stays_at_work_until_another_machine_has_a_place() -> None:
     """The machine of a lasting task is to be emptied, and each other one has its share of the step.
     Stopped at once, the task would be away until another machine has come."""
-    bench = Bench(facts("i-0"), facts("i-1"))
-    bench.admit(job(step(2, long_running=True, most_away=1, most_per_executor=1)))
-    first, second = bench.place()
-    first.at_work = second.at_work = True
-    executor = bench.shard.ledger.executors[first.executor]
-
-    def has_place(run: Run) -> bool:
-        return bench.shard.has_place(run, bench.now)
-
-    assert to_stop(executor, has_place) == []
-    bench.register(facts("i-2"))
-    assert to_stop(executor, has_place) == [first]
+    harness = ShardHarness(facts("i-0"), facts("i-1"))
+    harness.admit(job(step(2, long_running=True, most_away=1, most_per_executor=1)))
+    first, second = harness.place()
+    first.is_available = second.is_available = True
+    executor = harness.shard.ledger.executors[first.executor]
+
+    def can_place_elsewhere(run: Run) -> bool:
+        return harness.shard.can_place_elsewhere(run, harness.now)
+
+    assert to_stop(executor, can_place_elsewhere) == []
+    harness.register(facts("i-2"))
+    assert to_stop(executor, can_place_elsewhere) == [first]
 
 
 def test_a_machine_whose_order_is_in_doubt_keeps_its_place_until_it_is_repeated() -> None:
