--- a/vanillawell/protocol/work_documents.py
+++ b/vanillawell/protocol/work_documents.py
@@ -229,12 +229,16 @@
         for task in step.tasks
         if task.failed_on and not task.done
     }
-    older = {
-        str(task.task_id.task): [_write_place(run) for run in task.older]
+    superseded_runs = {
+        str(task.task_id.task): [_write_place(run) for run in task.superseded_runs]
         for task in step.tasks
-        if task.older
+        if task.superseded_runs
+    }
+    optional = {
+        "failed_on": failed_on,
+        "older": superseded_runs,
+        "failed_number": step.failed_number,
     }
-    optional = {"failed_on": failed_on, "older": older, "failed_number": step.failed_number}
     return {**document, **{name: value for name, value in optional.items() if value}}
 
 
--- a/vanillawell/state/copies.py
+++ b/vanillawell/state/copies.py
@@ -37,7 +37,7 @@
     task, spec = run.task, run.task.step.spec
     allowed = spec.speculative and not spec.gang and not spec.long_running
     open_still = not task.done and not task.step.record.state.final and not run.stop_requested
-    return allowed and open_still and task.run is run and not task.older and _is_out(run)
+    return allowed and open_still and task.run is run and not task.superseded_runs and _is_out(run)
 
 
 def _is_out(run: Run) -> bool:
--- a/vanillawell/state/ledger.py
+++ b/vanillawell/state/ledger.py
@@ -229,7 +229,7 @@
         record = run.task.step.record
         record.open_runs += 1
         if run.superseded:
-            run.task.older.append(run)
+            run.task.superseded_runs.append(run)
         else:
             run.task.run = run
         self._usage[record.job.organisation] += run.task.step.spec.need
@@ -239,7 +239,7 @@
         record = run.task.step.record
         record.open_runs -= 1
         if run.superseded:
-            run.task.older.remove(run)
+            run.task.superseded_runs.remove(run)
         elif run.task.run is run:
             run.task.run = None
         self._usage[record.job.organisation] -= run.task.step.spec.need
@@ -249,12 +249,12 @@
         """Let another run of a task begin beside this one, which stays charged where it is."""
         run.superseded = True
         run.task.run = None
-        run.task.older.append(run)
+        run.task.superseded_runs.append(run)
 
     @staticmethod
     def _reinstate(run: Run) -> None:
         """Take a superseded run for the task's own again, since no other was begun."""
-        run.task.older.remove(run)
+        run.task.superseded_runs.remove(run)
         run.superseded = False
         run.task.run = run
 
--- a/vanillawell/state/work.py
+++ b/vanillawell/state/work.py
@@ -254,7 +254,7 @@
     """Number of its latest run; numbers only rise."""
 
     run: Run | None = None
-    older: list[Run] = field(default_factory=list)
+    superseded_runs: list[Run] = field(default_factory=list)
     """Superseded runs that may still go on, where copies are allowed."""
 
     failures: int = 0
@@ -269,7 +269,7 @@
     @property
     def open_runs(self) -> list[Run]:
         """Return its runs that are not over for certain."""
-        return [*self.older, self.run] if self.run else list(self.older)
+        return [*self.superseded_runs, self.run] if self.run else list(self.superseded_runs)
 
 
 @dataclass(slots=True, eq=False)
