--- a/vanillawell/state/arrivals.py
+++ b/vanillawell/state/arrivals.py
@@ -1,7 +1,7 @@
-"""Measure how much work arrives for each service, and what that says of the next seconds.
+"""Measure the work arriving for each service, and forecast it for the next seconds.
 
-A machine that is called takes about 1.5 s to come, and objectives leave too little slack to catch
-up afterwards; so a pool is sized by what will arrive by then.
+A requested machine takes about 1.5 s to become ready, and objectives leave too little slack to
+catch up afterwards. A pool is therefore sized for the work expected by then.
 """
 
 from __future__ import annotations
@@ -18,70 +18,70 @@
     from vanillawell.state.work import Job
 
 ARRIVAL_WINDOW = 0.7
-"""Seconds over which arriving work is averaged: short, so that a peak shows as it begins, and
+"""Seconds over which arriving work is averaged: short enough to detect a peak as it begins, and
 long enough that a single large job does not look like one."""
 
-MARGIN = 1.1
-"""Multiple of the work that arrives for which there is to be room in any case."""
+BASE_MARGIN = 1.1
+"""Multiple of the arriving work for which capacity is always provided."""
 
-MARGIN_OF_COUNT = 1.5
-"""Further part by which room exceeds it, over the root of the number of jobs that were counted: few
-jobs say little of how many come next."""
+SMALL_SAMPLE_MARGIN = 1.5
+"""Additional margin, divided by the square root of the number of counted jobs: a few jobs say
+little about how many follow."""
 
 PRIOR_JOBS = 3
-"""Jobs added to the counts of both windows, so that a handful more is not taken for a peak."""
+"""Jobs added to the counts of both windows, so that a few more jobs do not look like a peak."""
 
 TREND_EXPONENT = 0.6
-"""Power of the ratio of two windows by which arrivals go on growing until a machine has come."""
+"""Exponent of the ratio of two windows that gives the growth until a requested machine is ready."""
 
-MOST_GROWTH = 3.0
-"""Multiple of what arrives now beyond which no growth is provided for."""
+MAX_GROWTH = 3.0
+"""Maximum growth for which capacity is provided, as a multiple of current arrivals."""
 
-WEIGHT_OF_A_JOB = 0.03
-"""Weight of a job in the mean of its service's work once some thirty were taken in."""
+MIN_JOB_WEIGHT = 0.03
+"""Weight of a new job in the moving mean of its service's work, after the first thirty or so."""
 
-ALONE = 3
-"""Multiple of the cores that a single job can use at once for which it alone makes room.
+LARGEST_JOB_FACTOR = 3
+"""Maximum capacity provided for the largest job, as a multiple of the cores it can use at once.
 
-Lower, a peak that begins with few jobs finds no room; without a bound one job would bring as many
-machines as a peak."""
+With a lower factor a peak that begins with few jobs finds no capacity; without a maximum a single
+job would request as many machines as a peak."""
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """One job that was accepted."""
+    """An accepted job."""
 
-    at: float
+    time: float
     work: float
-    """Core-seconds that it will probably take."""
+    """Expected work in core-seconds."""
 
-    widest: float
-    """Cores that it can use at once."""
+    max_cores: float
+    """Maximum number of cores that it can use at once."""
 
 
 @dataclass(slots=True)
 class MeanWork:
-    """Mean of the work of jobs, the later ones counting more."""
+    """Moving mean of the work of jobs."""
 
     jobs: int = 0
     core_seconds: float = 0.0
 
     def add(self, work: float) -> None:
-        """Take in one job."""
+        """Add one job."""
         self.jobs += 1
-        weight = max(1 / self.jobs, WEIGHT_OF_A_JOB)
+        weight = max(1 / self.jobs, MIN_JOB_WEIGHT)
         self.core_seconds += weight * (work - self.core_seconds)
 
 
 @dataclass(slots=True)
 class ArrivalMeter:
-    """Measure by service how much work arrives, and how that changes."""
+    """Measure the arriving work of each service and its trend."""
 
     _arrivals: dict[str, deque[Arrival]] = field(default_factory=dict)
     _work: dict[str, MeanWork] = field(default_factory=dict)
 
-    def note(self, service: str, job: Job, durations: DurationStatistics, now: float) -> None:
-        """Take in an accepted job."""
+    def record(self, service: str, job: Job, durations: DurationStatistics, now: float) -> None:
+        """Record an accepted job; long-running tasks do not count."""
         steps = [step for step in job.steps if not step.long_running]
         sizes = [step.count * step.reserved.cpu / MILLICORES_PER_CORE for step in steps]
         work = sum(
@@ -94,30 +94,30 @@
         self._work.setdefault(service, MeanWork()).add(work)
 
     def required_cores(self, service: str, now: float) -> float:
-        """Return the cores that keep up with what will arrive by the time that a machine can come.
+        """Return the cores needed for the work expected by the time a requested machine is ready.
 
-        Jobs are counted and taken for as large as those of the service are on average: sizes are
-        uneven, and a few large ones within a window look like a peak. The largest stands for itself
-        up to a bound; without one, a single job called all idle machines into its pool.
+        Jobs are counted, and each counts with the mean work of the service: sizes vary, and a few
+        large jobs within a window would look like a peak. The largest job counts with its own work
+        up to a maximum; without it, a single job would request all idle machines for its pool.
         """
         arrivals = self._arrivals.get(service, deque())
-        while arrivals and arrivals[0].at < now - 2 * ARRIVAL_WINDOW:
+        while arrivals and arrivals[0].time < now - 2 * ARRIVAL_WINDOW:
             arrivals.popleft()
-        recent = [item for item in arrivals if item.at >= now - ARRIVAL_WINDOW]
+        recent = [item for item in arrivals if item.time >= now - ARRIVAL_WINDOW]
         if not recent:
             return 0.0
-        growth = expected_growth(len(recent), len(arrivals) - len(recent)) / ARRIVAL_WINDOW
+        rate_factor = expected_growth(len(recent), len(arrivals) - len(recent)) / ARRIVAL_WINDOW
         largest = max(recent, key=lambda item: item.work)
-        alone = min(ALONE * largest.widest, growth * largest.work)
-        return alone + growth * (len(recent) - 1) * self._work[service].core_seconds
+        for_largest = min(LARGEST_JOB_FACTOR * largest.max_cores, rate_factor * largest.work)
+        return for_largest + rate_factor * (len(recent) - 1) * self._work[service].core_seconds
 
 
-def expected_growth(recent: int, before: int) -> float:
-    """Return the multiple of what arrives now that there should be room for.
+def expected_growth(recent: int, previous: int) -> float:
+    """Return the multiple of the current arrivals for which capacity should be provided.
 
-    It follows how the jobs of the last window compare with those of the one before: a peak that
-    begins grows threefold in the time of a move, and one at its height no more.
+    It is derived from the number of jobs in the last window and in the window before it: a
+    beginning peak grows threefold while a machine moves, a peak at its height does not grow.
     """
-    ratio = (recent + PRIOR_JOBS) / (before + PRIOR_JOBS)
-    trend = min(MOST_GROWTH, max(1.0, math.pow(ratio, TREND_EXPONENT)))
-    return trend * (MARGIN + MARGIN_OF_COUNT / math.sqrt(recent + 1))
+    ratio = (recent + PRIOR_JOBS) / (previous + PRIOR_JOBS)
+    trend = min(MAX_GROWTH, max(1.0, math.pow(ratio, TREND_EXPONENT)))
+    return trend * (BASE_MARGIN + SMALL_SAMPLE_MARGIN / math.sqrt(recent + 1))
--- a/vanillawell/state/copies.py
+++ b/vanillawell/state/copies.py
@@ -1,7 +1,8 @@
-"""Choose tasks to start a second time because nobody can say what becomes of their runs.
+"""Choose speculative tasks to start again because their executors are unresponsive.
 
-When the path to a zone is cut, what runs there may go on, and is given up only once its lease is
-surely over, seconds later. Callers can allow a step's tasks to run twice; such tasks need not wait.
+When the connection to a zone is lost, the runs there may continue. They are closed only when their
+lease has expired for certain, seconds later. Callers can allow the tasks of a step to run more than
+once; such tasks are started elsewhere without waiting for that.
 """
 
 from __future__ import annotations
@@ -17,29 +18,29 @@
     from vanillawell.state.executors import Executor
     from vanillawell.state.work import Run
 
-COPIED_AFTER = 0.4
-"""Seconds of silence after which tasks are started elsewhere: a single lost answer is made good
-within half of that."""
+COPY_DELAY = 0.4
+"""Seconds without an answer after which tasks are started elsewhere; a single lost answer is
+recovered within half of that."""
 
 
-def to_copy(executors: Iterable[Executor], now: float) -> list[Run]:
-    """Return the runs on silent executors beside which another may be started."""
-    silent = (
+def runs_to_copy(executors: Iterable[Executor], now: float) -> list[Run]:
+    """Return the runs on unresponsive executors beside which another run may be started."""
+    unresponsive = (
         item
         for item in executors
-        if item.unresponsive_since is not None and now >= item.unresponsive_since + COPIED_AFTER
+        if item.unresponsive_since is not None and now >= item.unresponsive_since + COPY_DELAY
     )
-    runs = itertools.chain.from_iterable(item.runs.values() for item in silent)
+    runs = itertools.chain.from_iterable(item.runs.values() for item in unresponsive)
     return [run for run in runs if _may_copy(run)]
 
 
 def _may_copy(run: Run) -> bool:
     task, spec = run.task, run.task.step.spec
     allowed = spec.speculative and not spec.gang and not spec.long_running
-    open_still = not task.done and not task.step.record.state.final and not run.stop_requested
-    return allowed and open_still and task.run is run and not task.superseded_runs and _is_out(run)
+    is_open = not task.done and not task.step.record.state.final and not run.stop_requested
+    return allowed and is_open and task.run is run and not task.superseded_runs and _is_ordered(run)
 
 
-def _is_out(run: Run) -> bool:
-    """Tell whether the order for a run has gone out, or may have."""
+def _is_ordered(run: Run) -> bool:
+    """Return whether the start order of a run has been sent, or may have been."""
     return run.phase is not RunPhase.PLANNED
--- a/vanillawell/state/durations.py
+++ b/vanillawell/state/durations.py
@@ -1,4 +1,4 @@
-"""Learn how long tasks really take, since callers' estimates are far off both ways."""
+"""Measure the run times of tasks, since callers' estimates are often far too low or too high."""
 
 from __future__ import annotations
 
@@ -7,33 +7,33 @@
 if TYPE_CHECKING:
     from vanillawell.state.work import Job, Step
 
-ENOUGH = 3
+MIN_MEASURED_RUNS = 3
 """Measured runs after which the measured mean replaces the caller's estimate."""
 
-WEIGHT = 0.1
-"""Weight of a new measurement in the moving mean once ten were taken."""
+MIN_RUN_WEIGHT = 0.1
+"""Weight of a new measurement in the moving mean, after the first ten."""
 
 
 class DurationStatistics:
-    """Hold the mean run time of tasks by queue and image."""
+    """Moving mean of the run times of tasks, by queue and image."""
 
     def __init__(self) -> None:
         self._means: dict[tuple[str, str], tuple[int, float]] = {}
 
-    def learn(self, queue: str, step: Step, seconds: float) -> None:
-        """Take in one measured run."""
+    def record(self, queue: str, step: Step, seconds: float) -> None:
+        """Record the measured run time of one run."""
         key = (queue, step.image)
         count, mean = self._means.get(key, (0, 0.0))
-        weight = max(1 / (count + 1), WEIGHT)
+        weight = max(1 / (count + 1), MIN_RUN_WEIGHT)
         self._means[key] = (count + 1, mean + weight * (seconds - mean))
 
     def expected(self, queue: str, step: Step) -> float:
-        """Return the seconds a task of the step will probably take."""
+        """Return the expected run time of a task of the step, in seconds."""
         count, mean = self._means.get((queue, step.image), (0, 0.0))
-        return mean if count >= ENOUGH else step.estimate
+        return mean if count >= MIN_MEASURED_RUNS else step.estimate
 
     def critical_paths(self, job: Job) -> tuple[float, ...]:
-        """Return for each step the seconds of the longest chain that begins with it."""
+        """Return the expected seconds of the longest chain that begins with each step."""
         critical_paths = [self.expected(job.queue, step) for step in job.steps]
         for position in range(len(job.steps) - 1, -1, -1):
             for earlier in job.steps[position].after:
--- a/vanillawell/state/executors.py
+++ b/vanillawell/state/executors.py
@@ -1,4 +1,7 @@
-"""Keep what is known of executors: who they are, what runs on them, whether they are sound."""
+"""State of executors: their registration, the runs charged to them, and their health.
+
+Times are seconds on the monotonic clock (`vanillawell.clock`) unless stated otherwise.
+"""
 
 from __future__ import annotations
 
@@ -11,35 +14,35 @@
     from collections.abc import Iterable, Sequence
 
 UNREACHABLE_BLOCK_TIME = 1.0
-"""Seconds for which an executor that could not be reached gets no new work."""
+"""Seconds for which an unreachable executor gets no new tasks."""
 
-FAILURES_IN_A_ROW = 5
-"""Failed runs without a success between them that put an executor's soundness in doubt.
+MAX_CONSECUTIVE_FAILURES = 5
+"""Failed runs without a success between them after which an executor counts as unhealthy.
 
-So many in a row are no chance while single tasks seldom fail by themselves."""
+Single tasks rarely fail by themselves, so this many in a row are not a coincidence."""
 
-JOBS_IN_DOUBT = 2
-"""Different jobs that these failures must come from: otherwise the fault is the job's."""
+MIN_FAILED_JOBS = 2
+"""Distinct jobs that these failures must come from; otherwise the job itself is at fault."""
 
 MAX_REGISTRATION_AGE = 1.5
-"""Seconds after which executors write their entries anew at the latest."""
+"""Maximum seconds between two writes of an executor's registration."""
 
-QUARANTINED_PART = 0.5
-"""Part of a pool that may be in quarantine at a time."""
+MAX_QUARANTINED_PART = 0.5
+"""Part of a pool that may be in quarantine at the same time."""
 
 QUARANTINE_TIME = 4.0
-"""Seconds for which a doubtful executor gets no new work; then it is tried again."""
+"""Seconds for which an unhealthy executor gets no new tasks; then it is tried again."""
 
 
 @dataclass(frozen=True, slots=True)
 class ExecutorFacts:
-    """What an executor says of itself in the registry."""
+    """An executor's registration, as written by the executor itself."""
 
     executor: str
-    """Its id."""
+    """Id of the executor."""
 
     incarnation: int
-    """Start time of its present life, in milliseconds since the epoch."""
+    """Start time of its current incarnation, in milliseconds since the epoch."""
 
     service: str
     address: str
@@ -50,94 +53,94 @@
     capacity: Resources
     draining: bool
     remaining: float | None = None
-    """Least seconds, from when it wrote this, after which it leaves; None if it did not say."""
+    """Minimum seconds from this write until it leaves; None if not stated."""
 
 
 @dataclass(slots=True, eq=False)
 class Executor:
-    """One life of an executor, and what it is charged with."""
+    """State of one executor and the runs charged to it."""
 
     facts: ExecutorFacts
     tracked_since: float
-    """Clock of decisions at which this process first heard of its present life."""
+    """When this process first learned of its current incarnation."""
 
     registered: bool = True
     contacted: bool = False
-    """Whether it has reported since this process became its owner."""
+    """Whether it has reported since this process became the owner of its shard."""
 
     runs: dict[tuple[TaskId, int], Run] = field(default_factory=dict)
     used: Resources = NO_RESOURCES
     seen_end: int = 0
-    """Highest number of an end that was taken in from its reports."""
+    """Highest sequence number of an end that was applied from its reports."""
 
     unsaved_ends: set[int] = field(default_factory=set)
-    """Numbers of ends whose effect is not stored yet."""
+    """Sequence numbers of ends whose effect is not stored yet."""
 
     lease_expires_at: float = 0.0
-    """Clock of decisions at which everything on it is surely dead unless renewed."""
+    """Time after which all its runs have ended for certain, unless its lease is renewed."""
 
     restarted_at: float = 0.0
-    """Clock of decisions at which a new life under the same id was noticed; 0 for the first."""
+    """When a new incarnation under the same id was detected; 0 for the first incarnation."""
 
     unresponsive_since: float | None = None
-    """Clock of decisions since which it has answered nothing; None while it answers."""
+    """Time since which it has answered no call; None while it answers."""
 
     earliest_departure: float | None = None
-    """Clock of decisions up to which it said that it goes on; None while it does not leave."""
+    """Time until which it has announced to keep running; None while it is not leaving."""
 
     departure_reported_at: float = 0.0
-    """Clock of decisions at which it was read last for how long it goes on."""
+    """When its announced departure was last read."""
 
     placement_blocked_until: float = 0.0
     quarantined_until: float = 0.0
-    """Clock of decisions up to which it gets no work for what it failed."""
+    """Time until which it gets no new tasks because of its failures."""
 
     cordoned: bool = False
-    """Whether planned work keeps new tasks away."""
+    """Whether planned maintenance keeps new tasks off its machine."""
 
     withheld: bool = False
-    """Whether an order of a former owner for its machine may end it yet, or may have ended it."""
+    """Whether a previous owner's order for its machine may still end it, or may have ended it."""
 
     order_void_since: float | None = None
-    """Clock of decisions since which that order can't take effect any more: an answer to a later
-    call shows that it lives on. None while the order may."""
+    """Time since which that order can no longer take effect, so that an answer to a later call
+    proves that the executor still runs. None while the order may take effect."""
 
     awaits_upkeep: bool = False
-    """Whether a wave has yet to take its machine down, which ends all that runs there."""
+    """Whether a maintenance wave has yet to take its machine down, which ends all runs there."""
 
     failures: list[str] = field(default_factory=list)
-    """Jobs of the failed runs since the last success."""
+    """Job ids of the failed runs since the last success."""
 
     @property
     def name(self) -> str:
-        """Return its id."""
+        """Return the id of the executor."""
         return self.facts.executor
 
     @property
     def is_unconfirmed(self) -> bool:
-        """Tell whether nobody can say what runs on it now."""
+        """Return whether its runs are unconfirmed: it has not reported yet, or is unresponsive."""
         return not self.contacted or self.unresponsive_since is not None
 
     @property
     def must_drain(self) -> bool:
-        """Tell whether what lasts here has to go elsewhere, since it leaves or is closed."""
+        """Return whether long-running tasks must move away, since it leaves or is cordoned."""
         return self.cordoned or (self.registered and self.facts.draining)
 
     @property
     def free(self) -> Resources:
-        """Return the capacity that nothing is charged for."""
+        """Return the capacity that is not charged."""
         return self.facts.capacity - self.used
 
     @property
     def saved_end(self) -> int:
-        """Return the highest number up to which all ends are stored."""
+        """Return the highest sequence number up to which all ends are stored."""
         return min(self.unsaved_ends) - 1 if self.unsaved_ends else self.seen_end
 
     def begin_incarnation(self, now: float) -> None:
-        """Note that it has started again under its id.
+        """Reset its state after a restart under the same id.
 
-        It holds and knows nothing of before, so only its next report tells which runs it has:
-        an order that was sent just now may already belong to the new life.
+        The new incarnation has no state of the earlier one, so only its next report shows which
+        runs it has: an order that was just sent may already have reached the new incarnation.
         """
         self.contacted = False
         self.seen_end = 0
@@ -148,17 +151,19 @@
         self.tracked_since = now
 
     def is_from_earlier_incarnation(self, incarnation: int, sent: float) -> bool:
-        """Tell whether an answer to a call that was sent at `sent` is of a life that is over.
+        """Return whether the answer to a call sent at `sent` is from a terminated incarnation.
 
-        One that answers a later call is believed: then the entry that told of a new life was wrong.
+        If an earlier incarnation answers a call that was sent after the restart was detected, the
+        registration that announced the restart was wrong, and the answer counts.
         """
         return incarnation < self.facts.incarnation and sent < self.restarted_at
 
     def update_facts(self, facts: ExecutorFacts, now: float) -> None:
-        """Take in what it says of itself.
+        """Apply its registration.
 
-        The same time left as before is the same entry, read again. An entry that is read for the
-        first time, as after a change of owner, may have stood for as long as entries do.
+        An unchanged remaining time means that the same registration was read again. A registration
+        that is read for the first time, as after a change of owner, may be as old as the maximum
+        interval between two writes.
         """
         same = self.earliest_departure is not None and facts.remaining == self.facts.remaining
         if not facts.draining:
@@ -171,17 +176,17 @@
         self.registered = True
 
     def record_answer(self, sent: float) -> None:
-        """Take in that it answered a call that was sent at `sent`."""
+        """Record that it answered a call that was sent at `sent`."""
         self.contacted = True
         if self.order_void_since is not None and sent >= self.order_void_since:
             self.withheld, self.order_void_since = False, None
 
     def accepts_tasks(self, now: float) -> bool:
-        """Tell whether new tasks may be placed here."""
+        """Return whether new tasks may be placed on it."""
         return self.is_healthy(now) and not self.withheld
 
     def is_healthy(self, now: float) -> bool:
-        """Tell whether it takes new tasks, or will once it is no longer withheld."""
+        """Return whether it accepts new tasks, or will once it is no longer withheld."""
         return (
             self.registered
             and self.contacted
@@ -192,58 +197,58 @@
         )
 
     def charge(self, run: Run) -> None:
-        """Count a run until it is proved over."""
+        """Charge a run to it."""
         self.runs[run.task.task_id, run.number] = run
         self.used += run.reserved
 
     def release(self, run: Run) -> None:
-        """Stop counting a run."""
+        """Stop charging a run to it."""
         del self.runs[run.task.task_id, run.number]
         self.used -= run.reserved
 
     def block_placement(self, until: float) -> None:
-        """Keep new work away until a moment."""
+        """Place no new tasks on it until the given time."""
         self.placement_blocked_until = max(self.placement_blocked_until, until)
 
     def mark_unresponsive(self) -> None:
-        """Take in that it answers nothing: what it was last seen to do, it may do no more.
+        """Stop relying on its last report after it failed to answer.
 
-        Its runs stay charged until their lease is over, which can take seconds; but planned work
-        must not rely on them meanwhile. Its next report tells which of them are at work.
+        Its runs stay charged until its lease expires, which can take seconds, but planned
+        maintenance must not count them as available. Its next report updates their availability.
         """
         for run in self.runs.values():
             run.is_available = False
 
-    def judge(self, run: Run, ending: Ending) -> bool:
-        """Learn from how a run ended; True if the executor's soundness is in doubt by now.
+    def record_ending(self, run: Run, ending: Ending) -> bool:
+        """Record how a run ended; return whether the executor now counts as unhealthy.
 
-        An executor that fails all it starts looks idle, so it would draw ever more work.
+        An executor that fails every run looks idle, and would attract more and more tasks.
         """
         if ending is Ending.DONE:
             self.failures.clear()
         if ending is not Ending.FAILED:
             return False
         self.failures.append(run.task.task_id.job_id)
-        recent = self.failures[-FAILURES_IN_A_ROW:]
-        if len(recent) < FAILURES_IN_A_ROW or len(set(recent)) < JOBS_IN_DOUBT:
+        recent = self.failures[-MAX_CONSECUTIVE_FAILURES:]
+        if len(recent) < MAX_CONSECUTIVE_FAILURES or len(set(recent)) < MIN_FAILED_JOBS:
             return False
         del self.failures[:-2]
         return True
 
     def quarantine(self, now: float) -> None:
-        """Keep new work away for a while, since it fails what it starts."""
+        """Place no new tasks on it for the quarantine time, since its runs fail."""
         self.quarantined_until = now + QUARANTINE_TIME
         self.block_placement(self.quarantined_until)
 
 
 def may_quarantine(pool: Sequence[Executor], now: float) -> bool:
-    """Tell whether one more executor of a pool may be put in quarantine.
+    """Return whether one more executor of a pool may be put in quarantine.
 
-    Where most of a pool fails what it starts, the fault is that of the jobs: shut out for them,
-    sound executors would be idle while all other jobs wait.
+    If runs fail on most of a pool, the jobs are at fault. Quarantining the executors would leave
+    healthy ones idle while all other jobs wait.
     """
-    shut_out = sum(now < item.quarantined_until for item in pool)
-    return shut_out + 1 <= QUARANTINED_PART * len(pool)
+    quarantined = sum(now < item.quarantined_until for item in pool)
+    return quarantined + 1 <= MAX_QUARANTINED_PART * len(pool)
 
 
 def by_service(executors: Iterable[Executor], service: str) -> list[Executor]:
--- a/vanillawell/state/job_table.py
+++ b/vanillawell/state/job_table.py
@@ -1,4 +1,4 @@
-"""Follow jobs from acceptance to their end: which steps may start, and what each end means."""
+"""Track jobs from acceptance to their end: which steps may start, and the effect of each end."""
 
 from __future__ import annotations
 
@@ -9,43 +9,48 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterator
 
-ROOM_FOR_FINAL = 60.0
-"""Seconds that a final job is kept beyond the time for which its state must be told."""
+FINAL_RETENTION_MARGIN = 60.0
+"""Seconds for which a final job is kept beyond the time for which it can be queried."""
 
 
 class JobTable:
-    """Own all jobs of a shard."""
+    """Table of all jobs of a shard.
 
-    def __init__(self, attempts: Callable[[str], int], kept: float) -> None:
+    `attempts` returns the failed runs that a queue allows a task, `retention` is the time in
+    seconds for which final jobs can be queried.
+    """
+
+    def __init__(self, attempts: Callable[[str], int], retention: float) -> None:
         self._attempts = attempts
-        self._kept = kept + ROOM_FOR_FINAL
+        self._retention = retention + FINAL_RETENTION_MARGIN
         self.jobs: dict[str, JobRecord] = {}
         self.open_steps: dict[StepProgress, None] = {}
-        """Steps whose earlier steps are done and that are not done themselves."""
-        self._timed: dict[str, JobRecord] = {}
+        """Steps that are not done and whose earlier steps are done."""
+        self._scheduled: dict[str, JobRecord] = {}
+        """Jobs with occurrences that have not started yet."""
         self.changed: dict[str, JobRecord] = {}
-        """Jobs whose record is newer than what is stored."""
+        """Jobs whose record is newer than the stored one."""
 
     def find(self, task_id: TaskId) -> Task | None:
-        """Return a task of a job that is not final, or still has runs."""
+        """Return a task of a tracked job; None if it is not tracked or its occurrence is over."""
         record = self.jobs.get(task_id.job_id)
         return record.find(task_id) if record else None
 
     def add(self, record: JobRecord) -> None:
-        """Begin to follow a job."""
+        """Start tracking a job."""
         self.jobs[record.job.job_id] = record
         if record.state.final:
             return
         if record.job.times:
-            self._timed[record.job.job_id] = record
+            self._scheduled[record.job.job_id] = record
         else:
             record.open(0)
         for occurrence in list(record.occurrences):
             self._open_steps(record, occurrence)
 
     def begin_due(self, wall: float) -> None:
-        """Open the occurrences of timed jobs that are due at `wall` seconds since the epoch."""
-        for record in list(self._timed.values()):
+        """Open the occurrences of scheduled jobs that are due at `wall` seconds since the epoch."""
+        for record in list(self._scheduled.values()):
             job = record.job
             while record.next_occurrence < job.occurrences:
                 occurrence = record.next_occurrence
@@ -55,49 +60,51 @@
                 self.changed[job.job_id] = record
                 self._open_steps(record, occurrence)
             else:
-                del self._timed[job.job_id]
+                del self._scheduled[job.job_id]
 
     def next_due(self) -> float | None:
-        """Return when the next occurrence is due, in seconds since the epoch."""
-        times = (record.job.due(record.next_occurrence) for record in self._timed.values())
+        """Return when the next occurrence is due, in seconds since the epoch; None if none is."""
+        times = (record.job.due(record.next_occurrence) for record in self._scheduled.values())
         return min(times, default=None)
 
     def _open_steps(self, record: JobRecord, occurrence: int) -> None:
-        """List the steps that may start now."""
+        """Open the steps of an occurrence that may start now."""
         steps = record.occurrences[occurrence]
         for step in steps:
             earlier = (steps[number] for number in step.spec.after if number < len(steps))
             if step.left and all(not item.left for item in earlier):
                 self.open_steps[step] = None
 
-    def begun(self, task: Task) -> None:
-        """Note that a run of a task was decided."""
+    def record_start(self, task: Task) -> None:
+        """Record that a run of a task was planned."""
         record = task.step.record
         if record.state is JobState.QUEUED:
             record.state = JobState.RUNNING
         self.changed[record.job.job_id] = record
 
-    def ended(self, task: Task, ending: Ending, checkpoint: str, now: float, wall: float) -> None:
-        """Take in how the latest run of a task ended."""
+    def record_end(
+        self, task: Task, ending: Ending, checkpoint: str, now: float, wall: float
+    ) -> None:
+        """Record how a run of a task ended, and update its job."""
         record = task.step.record
         self.changed[record.job.job_id] = record
         task.changed = now
         if checkpoint:
-            self._keep_checkpoint(task, checkpoint)
+            self._set_checkpoint(task, checkpoint)
         if record.state.final or task.done:
             return
         if ending is Ending.DONE and not task.step.spec.long_running:
-            self._done(task, wall)
+            self._complete_task(task, wall)
         elif ending is Ending.FAILED:
-            self._failed(task, wall)
+            self._record_failure(task, wall)
 
     @staticmethod
-    def _keep_checkpoint(task: Task, checkpoint: str) -> None:
+    def _set_checkpoint(task: Task, checkpoint: str) -> None:
         members = task.step.tasks if task.step.spec.gang else [task]
         for member in members:
             member.checkpoint = checkpoint
 
-    def _done(self, task: Task, wall: float) -> None:
+    def _complete_task(self, task: Task, wall: float) -> None:
         step = task.step
         members = step.tasks if step.spec.gang else [task]
         for member in members:
@@ -121,7 +128,7 @@
         elif record.job.times:
             del record.occurrences[occurrence]
 
-    def _failed(self, task: Task, wall: float) -> None:
+    def _record_failure(self, task: Task, wall: float) -> None:
         task.failures += 1
         step = task.step
         if step.spec.gang and task.number > step.failed_number:
@@ -129,12 +136,12 @@
             step.failed_number = task.number
         if step.spec.long_running:
             return
-        bound = self._attempts(step.record.job.queue)
-        if max(task.failures, step.failed_gangs) >= bound:
+        attempts = self._attempts(step.record.job.queue)
+        if max(task.failures, step.failed_gangs) >= attempts:
             self._finish(step.record, JobState.FAILED, wall)
 
     def cancel(self, job_id: str, wall: float) -> JobRecord | None:
-        """Cancel a job; returns its record if that changed anything."""
+        """Cancel a job; return its record, or None if it is unknown or final."""
         record = self.jobs.get(job_id)
         if record is None or record.state.final:
             return None
@@ -145,13 +152,13 @@
         record.state = state
         record.ended = wall
         self.changed[record.job.job_id] = record
-        self._timed.pop(record.job.job_id, None)
+        self._scheduled.pop(record.job.job_id, None)
         for steps in record.occurrences.values():
             for step in steps:
                 self.open_steps.pop(step, None)
 
     def pending(self) -> dict[str, int]:
-        """Return the number of untimed jobs without a start, by queue."""
+        """Return the number of jobs that have not started, by queue, without scheduled jobs."""
         counts: dict[str, int] = {}
         for record in self.jobs.values():
             if record.state is JobState.QUEUED and not record.job.times:
@@ -159,16 +166,16 @@
         return counts
 
     def forgettable(self, wall: float) -> Iterator[JobRecord]:
-        """Iterate over final jobs that nobody may ask about any more."""
+        """Iterate over final jobs whose retention time has passed."""
         return (
             record
             for record in self.jobs.values()
             if record.ended is not None
             and not record.open_runs
-            and wall > record.ended + self._kept
+            and wall > record.ended + self._retention
         )
 
     def forget(self, job_id: str) -> None:
-        """Drop a job."""
+        """Remove a job."""
         self.jobs.pop(job_id, None)
         self.changed.pop(job_id, None)
--- a/vanillawell/state/ledger.py
+++ b/vanillawell/state/ledger.py
@@ -1,10 +1,14 @@
-"""Charge runs to executors and organisations until it is proved that they are over.
+"""Charge runs to executors and organisations until they are confirmed to have ended.
 
-An order without an answer may be carried out seconds later, and an executor that cannot be reached
-may go on working. Whoever frees their capacity too early starts a task twice, or passes an upper
-limit. So a run stays charged until one of these is known: the executor lists its end; the executor
-confirmed a stop and does not list it any more; the executor began a new life; its lease has surely
-expired; or a hold with a newer fencing token than the order's does not list it.
+An unanswered order may still be executed seconds later, and an unreachable executor may continue to
+work. Freeing the capacity of such runs too early would start a task twice or exceed a limit. A run
+therefore stays charged until one of the following is known:
+
+- the executor lists its end;
+- the executor confirmed a stop and no longer lists the run;
+- the executor has restarted (a new incarnation);
+- the executor's lease has expired for certain;
+- the executor's answer to a hold with a newer fencing token than the order's does not list the run.
 """
 
 from __future__ import annotations
@@ -34,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndedRun:
-    """One run that is over."""
+    """A run that has ended."""
 
     run: Run
     ending: Ending
@@ -43,74 +47,74 @@
 
 @dataclass(frozen=True, slots=True)
 class InheritedLeaseBound:
-    """What is known of an executor from former terms, on the clock of decisions."""
+    """Lease bound of an executor inherited from previous owners of the shard, in monotonic time."""
 
     lease_expires_at: float
-    """When all leases there are surely over, unless they are extended."""
+    """Time after which all leases on it have expired for certain, unless they are extended."""
 
     tracked_since: float
     machine: str = ""
-    """Where its latest known life is; empty if that is not known."""
+    """Machine of its latest known incarnation; empty if unknown."""
 
-    life: int = 0
-    """Start time of that life, in milliseconds since the epoch; 0 if it is not known."""
+    incarnation: int = 0
+    """Start time of that incarnation, in milliseconds since the epoch; 0 if unknown."""
 
 
 @dataclass(slots=True)
 class ReportOutcome:
-    """What a report changed."""
+    """Changes that follow from an executor's report."""
 
     ended: list[EndedRun] = field(default_factory=list)
     late_ends: list[EndRow] = field(default_factory=list)
-    """Ends of runs that are not the present run of their task."""
+    """Ends of runs that are no longer charged."""
 
     orphans: list[RunningRow] = field(default_factory=list)
-    """Runs that nobody wants and that have to be stopped."""
+    """Reported runs that are not charged to any task and have to be stopped."""
 
-    recheck: list[Run] = field(default_factory=list)
-    """Runs whose order may still be on its way; a stop order settles that."""
+    unconfirmed: list[Run] = field(default_factory=list)
+    """Runs whose start order may still be in flight; only a stop order can resolve them."""
 
 
 class Ledger:
-    """Own all executors of a shard and what is charged to them."""
+    """Registry of a shard's executors and of the runs charged to them."""
 
     def __init__(self) -> None:
         self.executors: dict[str, Executor] = {}
-        self._over: dict[str, int] = {}
-        """Latest life of each executor that is known to be over while its entry may still stand."""
+        self._terminated: dict[str, int] = {}
+        """Latest terminated incarnation of each executor whose registration may still exist."""
 
         self._usage: defaultdict[str, Resources] = defaultdict(Resources)
-        self._closed: set[str] = set()
-        """Machines on which nothing may start, whichever executor lives there."""
+        self._cordoned: set[str] = set()
+        """Machines on which no task may start, whichever executor runs there."""
 
         self._withheld: dict[str, str] = {}
-        """Machines that a former owner's order may take away yet, each with the pool that it goes
-        to; empty if it does not change its pool."""
+        """Machines that an order of a previous owner may still take away, each with the pool that
+        it moves to; empty if it stays in its pool."""
 
     def cordon_machine(self, machine: str) -> None:
-        """Let nothing start on a machine, not even on an executor that is yet to register there."""
-        self._closed.add(machine)
+        """Keep new tasks off a machine, including executors that have yet to register there."""
+        self._cordoned.add(machine)
         for executor in self._on_machine(machine):
             executor.cordoned = True
 
     def uncordon_machine(self, machine: str) -> None:
-        """Let a machine take work again."""
-        self._closed.discard(machine)
+        """Allow new tasks on a machine again."""
+        self._cordoned.discard(machine)
         for executor in self._on_machine(machine):
             executor.cordoned = False
 
     def withhold(self, machines: Mapping[str, str]) -> None:
-        """Let nothing new start on machines that a former owner's orders may take away yet.
+        """Keep new tasks off machines that a previous owner's orders may still take away.
 
-        They are given with the pool that each goes to; "" for other orders. An executor in that
-        pool has come by the order, and is not ended by it.
+        `machines` maps each machine to the pool that it moves to, or to "" for other orders. An
+        executor that is already in that pool arrived through the order, which cannot end it.
         """
         self._withheld.update(machines)
         for executor in self.executors.values():
             self._withhold_if_ordered(executor)
 
     def release_machine(self, machine: str, now: float) -> None:
-        """Let new tasks start on a machine again once its executor has answered a later call."""
+        """Allow new tasks on a withheld machine once its executor has answered a later call."""
         self._withheld.pop(machine, None)
         for executor in self._on_machine(machine):
             if executor.withheld:
@@ -127,7 +131,7 @@
         return [item for item in self.executors.values() if item.facts.machine == machine]
 
     def usage(self, organisation: str) -> Resources:
-        """Return what an organisation has running, or may have running."""
+        """Return the resources of all runs charged to an organisation."""
         return self._usage[organisation]
 
     def runs(self) -> Iterator[Run]:
@@ -137,90 +141,90 @@
         )
 
     def by_machine(self) -> dict[str, Executor]:
-        """Return the registered executors by their machine, the latest life of each."""
+        """Return the registered executors by machine, the latest incarnation for each."""
         registered = (item for item in self.executors.values() if item.registered)
         ordered = sorted(registered, key=lambda item: item.facts.incarnation)
         return {item.facts.machine: item for item in ordered}
 
     def is_terminated(self, facts: ExecutorFacts) -> bool:
-        """Tell whether the life that an entry speaks of is known to be over."""
-        return facts.incarnation == self._over.get(facts.executor)
+        """Return whether a registration belongs to an incarnation known to have terminated."""
+        return facts.incarnation == self._terminated.get(facts.executor)
 
     def tracked_registrations(self) -> set[str]:
-        """Return the executors whose entry in the registry stands as far as known."""
+        """Return the executors whose registration exists as far as known."""
         registered = {name for name, item in self.executors.items() if item.registered}
-        return registered | self._over.keys()
+        return registered | self._terminated.keys()
 
     def register(self, facts: ExecutorFacts, now: float) -> list[EndedRun]:
-        """Take in what an executor says of itself in the registry.
+        """Apply an executor's registration; return the runs that ended because of it.
 
-        A machine carries one executor at a time. So the runs of an earlier one on the same machine
-        are over; they are returned. The entry of a life that is known to be over stands for some
-        seconds more, and may be read again; what it names would look idle and sound.
+        A machine runs one executor at a time, so the runs of an earlier executor on the same
+        machine have ended. A terminated incarnation's registration remains for a few seconds and
+        may be read again; it is ignored, since its executor would look idle and healthy.
         """
         if self.is_terminated(facts):
             return []
-        known = self.executors.get(facts.executor)
-        if known is not None:
-            self._renew(known, facts, now)
-            self._withhold_if_ordered(known)
+        tracked = self.executors.get(facts.executor)
+        if tracked is not None:
+            self._update(tracked, facts, now)
+            self._withhold_if_ordered(tracked)
             return []
         executor = Executor(facts, now, registered=False)
         executor.update_facts(facts, now)
-        executor.cordoned = facts.machine in self._closed
+        executor.cordoned = facts.machine in self._cordoned
         self._withhold_if_ordered(executor)
         self.executors[facts.executor] = executor
         if not facts.machine:
             return []
-        former = [
+        earlier = [
             item
             for item in self.executors.values()
             if item.facts.machine == facts.machine and item.facts.incarnation < facts.incarnation
         ]
         return [
             ended
-            for item in former
+            for item in earlier
             for ended in self.mark_terminated(item.name, item.facts.incarnation)
         ]
 
     @staticmethod
-    def _renew(known: Executor, facts: ExecutorFacts, now: float) -> None:
-        if facts.incarnation < known.facts.incarnation:
+    def _update(tracked: Executor, facts: ExecutorFacts, now: float) -> None:
+        if facts.incarnation < tracked.facts.incarnation:
             return
-        if facts.incarnation > known.facts.incarnation:
-            known.begin_incarnation(now)
-        known.update_facts(facts, now)
+        if facts.incarnation > tracked.facts.incarnation:
+            tracked.begin_incarnation(now)
+        tracked.update_facts(facts, now)
 
-    def _abandon(self, executor: Executor) -> list[EndedRun]:
+    def _close_all(self, executor: Executor) -> list[EndedRun]:
         runs = list(executor.runs.values())
         for run in runs:
             self._discharge(executor, run)
         return [EndedRun(run, Ending.LOST) for run in runs]
 
     def unregister(self, name: str) -> None:
-        """Give an executor no new work; what it runs stays charged."""
-        self._over.pop(name, None)
+        """Mark an executor as unregistered: it gets no new tasks, and its runs stay charged."""
+        self._terminated.pop(name, None)
         executor = self.executors.get(name)
         if executor is None:
             return
         executor.registered = False
-        self._forget_if_empty(executor)
+        self._remove_if_unused(executor)
 
     def mark_terminated(self, name: str, incarnation: int) -> list[EndedRun]:
-        """Take in the proof that a life of an executor is over."""
-        self._over[name] = max(incarnation, self._over.get(name, incarnation))
+        """Record that an incarnation has terminated; return its runs, which ended with it."""
+        self._terminated[name] = max(incarnation, self._terminated.get(name, incarnation))
         executor = self.executors.get(name)
         if executor is None or executor.facts.incarnation != incarnation:
             return []
         executor.registered = False
-        ended = self._abandon(executor)
-        self._forget_if_empty(executor)
+        ended = self._close_all(executor)
+        self._remove_if_unused(executor)
         return ended
 
-    def _forget_if_empty(self, executor: Executor) -> None:
-        """Drop an executor that has left and runs nothing, unless it has come back meanwhile."""
-        present = self.executors.get(executor.name) is executor
-        if present and not executor.registered and not executor.runs:
+    def _remove_if_unused(self, executor: Executor) -> None:
+        """Remove an unregistered executor without runs, unless it was replaced meanwhile."""
+        is_current = self.executors.get(executor.name) is executor
+        if is_current and not executor.registered and not executor.runs:
             del self.executors[executor.name]
 
     def charge(self, executor: Executor, run: Run) -> None:
@@ -246,56 +250,57 @@
 
     @staticmethod
     def supersede(run: Run) -> None:
-        """Let another run of a task begin beside this one, which stays charged where it is."""
+        """Allow another run of the task beside this one, which stays charged to its executor."""
         run.superseded = True
         run.task.run = None
         run.task.superseded_runs.append(run)
 
     @staticmethod
     def _reinstate(run: Run) -> None:
-        """Take a superseded run for the task's own again, since no other was begun."""
+        """Make a superseded run the task's current run again, since no other run was started."""
         run.task.superseded_runs.remove(run)
         run.superseded = False
         run.task.run = run
 
     def close(self, run: Run) -> bool:
-        """Stop charging a run; False if it was closed before."""
+        """Stop charging a run; return False if it was closed before."""
         executor = self.executors.get(run.executor)
         if executor is None or (run.task.task_id, run.number) not in executor.runs:
             return False
         self._discharge(executor, run)
-        self._forget_if_empty(executor)
+        self._remove_if_unused(executor)
         return True
 
-    def recall(self, task: Task, run: Run, bound: InheritedLeaseBound) -> None:
-        """Charge a run that the store tells of, until its executor says what became of it.
+    def restore(self, task: Task, run: Run, bound: InheritedLeaseBound) -> None:
+        """Charge a stored run until its executor reports its outcome.
 
-        The entry of the executor may be gone by now. Where it lived still counts: the next executor
-        on that machine proves that it has ended. A run that was decided in an earlier life may have
-        begun in the latest one, so only the end of that one is the end of all.
+        The executor's registration may have expired by now. Its machine is still needed: the next
+        executor on that machine proves that this one has terminated. A run that was planned in an
+        earlier incarnation may have started in the latest one, so the run has ended for certain
+        only when the latest incarnation has.
         """
         executor = self.executors.get(run.executor)
         if executor is None:
-            facts = _recalled_facts(run.executor, bound.life, bound.machine)
+            facts = _inherited_facts(run.executor, bound.incarnation, bound.machine)
             executor = Executor(facts, bound.tracked_since, registered=False)
             self.executors[run.executor] = executor
         if run.incarnation > executor.facts.incarnation:
-            executor.facts = _recalled_facts(run.executor, run.incarnation, "")
+            executor.facts = _inherited_facts(run.executor, run.incarnation, "")
         executor.lease_expires_at = max(executor.lease_expires_at, bound.lease_expires_at)
         self.charge(executor, run)
 
     def expire(self, now: float) -> list[EndedRun]:
-        """Close the runs on executors whose lease has surely expired."""
-        found: list[EndedRun] = []
+        """Close and return the runs of executors whose lease has expired for certain."""
+        ended: list[EndedRun] = []
         for executor in list(self.executors.values()):
             if not executor.runs or now < executor.lease_expires_at:
                 continue
-            gone = [run for run in executor.runs.values() if run.phase is not RunPhase.PLANNED]
-            for run in gone:
+            expired = [run for run in executor.runs.values() if run.phase is not RunPhase.PLANNED]
+            for run in expired:
                 self._discharge(executor, run)
-                found.append(EndedRun(run, Ending.LEASE_EXPIRED))
-            self._forget_if_empty(executor)
-        return found
+                ended.append(EndedRun(run, Ending.LEASE_EXPIRED))
+            self._remove_if_unused(executor)
+        return ended
 
     def take_report(
         self,
@@ -305,7 +310,10 @@
         now: float,
         find: Callable[[TaskId], Task | None],
     ) -> ReportOutcome:
-        """Take in what an executor reported on a call that was sent at `sent`."""
+        """Apply an executor's report, the answer to a call that was sent at `sent`.
+
+        `find` returns the task with an id, None if it is not tracked.
+        """
         outcome = ReportOutcome()
         if executor.is_from_earlier_incarnation(report.incarnation, sent):
             return outcome
@@ -315,33 +323,35 @@
         executor.record_answer(sent)
         for end in report.ended:
             if end.sequence > executor.seen_end:
-                self._take_end(executor, end, outcome, now, find)
-        present = {(row.task_id, row.run): row for row in report.running if row.task_id is not None}
+                self._apply_end(executor, end, outcome, now, find)
+        reported = {
+            (row.task_id, row.run): row for row in report.running if row.task_id is not None
+        }
         for run in list(executor.runs.values()):
-            row = present.pop((run.task.task_id, run.number), None)
+            row = reported.pop((run.task.task_id, run.number), None)
             if row is not None:
-                self._confirm(run, row, now)
+                self._update_run(run, row, now)
                 if run.superseded and run.task.run is None and not run.task.done:
                     self._reinstate(run)
-            elif self._is_over(executor, run, sent):
+            elif self._has_ended(executor, run, sent):
                 self._discharge(executor, run)
                 outcome.ended.append(EndedRun(run, Ending.LOST))
-            elif self._may_still_begin(run, sent):
-                outcome.recheck.append(run)
-        outcome.orphans.extend(present.values())
-        self._forget_if_empty(executor)
+            elif self._may_still_start(run, sent):
+                outcome.unconfirmed.append(run)
+        outcome.orphans.extend(reported.values())
+        self._remove_if_unused(executor)
         return outcome
 
-    def _doubt(self, executor: Executor, now: float) -> None:
-        """Put an executor that fails what it starts in quarantine, unless its whole pool does."""
+    def _quarantine_if_allowed(self, executor: Executor, now: float) -> None:
+        """Quarantine an executor whose tasks fail, unless too much of its pool is quarantined."""
         registered = [item for item in self.executors.values() if item.registered]
-        is_shut_out = may_quarantine(by_service(registered, executor.facts.service), now)
-        fields = {"executor": executor.name, "quarantine": QUARANTINE_TIME if is_shut_out else 0.0}
+        is_allowed = may_quarantine(by_service(registered, executor.facts.service), now)
+        fields = {"executor": executor.name, "quarantine": QUARANTINE_TIME if is_allowed else 0.0}
         log.warning("executor fails its work", extra=fields)
-        if is_shut_out:
+        if is_allowed:
             executor.quarantine(now)
 
-    def _take_end(
+    def _apply_end(
         self,
         executor: Executor,
         end: EndRow,
@@ -359,13 +369,13 @@
                 outcome.late_ends.append(end)
             return
         executor.unsaved_ends.add(end.sequence)
-        if executor.judge(run, end.ending):
-            self._doubt(executor, now)
+        if executor.record_ending(run, end.ending):
+            self._quarantine_if_allowed(executor, now)
         self._discharge(executor, run)
         outcome.ended.append(EndedRun(run, end.ending, end.checkpoint))
 
     @staticmethod
-    def _confirm(run: Run, row: RunningRow, now: float) -> None:
+    def _update_run(run: Run, row: RunningRow, now: float) -> None:
         if run.phase is not RunPhase.RUNNING:
             run.enter_phase(RunPhase.RUNNING, now)
         if run.started is None:
@@ -381,8 +391,8 @@
             run.tail = row.measure / 1000
 
     @staticmethod
-    def _is_over(executor: Executor, run: Run, sent: float) -> bool:
-        """Tell whether a run that a report leaves out can neither be there nor begin there."""
+    def _has_ended(executor: Executor, run: Run, sent: float) -> bool:
+        """Return whether a run missing from a report is neither running nor able to start."""
         if run.phase is RunPhase.INHERITED:
             return True
         if run.phase is RunPhase.RUNNING and executor.restarted_at >= run.phase_since:
@@ -391,12 +401,14 @@
         return stopped is not None and sent >= stopped
 
     @staticmethod
-    def _may_still_begin(run: Run, sent: float) -> bool:
-        """Tell whether only a stop order can settle what becomes of a run."""
-        lost = run.phase in (RunPhase.UNCERTAIN, RunPhase.RUNNING)
-        return lost and sent > run.phase_since and run.stop_confirmed is None
+    def _may_still_start(run: Run, sent: float) -> bool:
+        """Return whether a run missing from a report can only be resolved by a stop order."""
+        is_open = run.phase in (RunPhase.UNCERTAIN, RunPhase.RUNNING)
+        return is_open and sent > run.phase_since and run.stop_confirmed is None
 
 
-def _recalled_facts(name: str, life: int, machine: str) -> ExecutorFacts:
-    """Return all that former terms tell of an executor; its entry tells the rest, if it stands."""
-    return ExecutorFacts(name, life, "", "", "", "", machine, frozenset(), NO_RESOURCES, True)
+def _inherited_facts(name: str, incarnation: int, machine: str) -> ExecutorFacts:
+    """Return the facts known from previous terms; the registration supplies the rest."""
+    return ExecutorFacts(
+        name, incarnation, "", "", "", "", machine, frozenset(), NO_RESOURCES, True
+    )
--- a/vanillawell/state/outbox.py
+++ b/vanillawell/state/outbox.py
@@ -1,4 +1,4 @@
-"""Collect what the decisions on a shard ask for, until its owner carries it out."""
+"""Collect the effects of scheduling decisions on a shard until its owner executes them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OrphanedRun:
-    """A run to stop that is not charged to any task."""
+    """A run to stop that an executor reported and that is not charged to any task."""
 
     executor: str
     task_id: TaskId
@@ -23,29 +23,31 @@
 
 @dataclass(frozen=True, slots=True)
 class EndConfirmation:
-    """An end that may be confirmed to its executor once it is stored."""
+    """An end of a run, to be confirmed to its executor once its effect is stored."""
 
     executor: Executor
     sequence: int
 
 
 class CompletedTask(NamedTuple):
-    """A task that was done, for the log."""
+    """A task that was completed, for the log."""
 
     task_id: TaskId
     run: int
     executor: str
     seconds: float | None
-    """From its confirmed start to the news of its end; None if the start was not seen here."""
+    """Seconds from its confirmed start to the report of its end.
 
+    None if this process did not see the start."""
 
-def _nobody() -> None:
-    """Stand for the listener that there is none of yet."""
+
+def _ignore_stop() -> None:
+    """Do nothing, as long as no listener for stops is set."""
 
 
 @dataclass(slots=True)
 class Outbox:
-    """What the decisions so far ask for."""
+    """Effects of the decisions so far that are not executed yet."""
 
     planned: list[Run] = field(default_factory=list)
     ends: list[EndConfirmation] = field(default_factory=list)
@@ -53,17 +55,18 @@
     orphan_stops: list[OrphanedRun] = field(default_factory=list)
     done: list[CompletedTask] = field(default_factory=list)
     accepted_requests: dict[str, set[str]] = field(default_factory=dict)
-    """What callers asked for and is taken in now: keys by the job that they concern."""
+    """Inbox keys of accepted callers' requests, by the job that they concern."""
 
-    on_stop: Callable[[], None] = _nobody
-    """Called when a stop is asked for; unlike all else it waits for no turn."""
+    on_stop: Callable[[], None] = _ignore_stop
+    """Called when a stop is requested; unlike other effects, stops are not delayed until the next
+    scheduling cycle."""
 
     def stop(self, run: Run) -> None:
-        """Ask for a run to be stopped."""
+        """Request that a run is stopped."""
         self.stops.append(run)
         self.on_stop()
 
-    def stop_orphan(self, stray: OrphanedRun) -> None:
-        """Ask for a run to be stopped that is not charged to any task."""
-        self.orphan_stops.append(stray)
+    def stop_orphan(self, orphan: OrphanedRun) -> None:
+        """Request that a run is stopped that is not charged to any task."""
+        self.orphan_stops.append(orphan)
         self.on_stop()
--- a/vanillawell/state/placement_pass.py
+++ b/vanillawell/state/placement_pass.py
@@ -1,4 +1,4 @@
-"""Look once at all steps that may start, and decide what starts where."""
+"""Place the waiting tasks of all steps that may start, in one pass."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from vanillawell.state.executors import Executor, by_service
-from vanillawell.state.placement import FullMemo, StepPlacer
+from vanillawell.state.placement import FailedPlacements, StepPlacer
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -18,18 +18,19 @@
 log = logging.getLogger(__name__)
 
 HELD_BY_CAPACITY = "room"
-"""What a step is held by whose tasks find no executor with a place."""
+"""Value of `held_by` for a step whose tasks find no executor with free capacity."""
 
 
 class PlacementPass:
-    """One look at all steps that may start."""
+    """One pass over all steps that may start."""
 
     def __init__(self, shard: Shard, policy: WorkPolicy, now: float) -> None:
         self._shard = shard
         self._policy = policy
         self._now = now
-        self._memo = FullMemo()
-        self._kept_free: set[str] = set()
+        self._failed_placements = FailedPlacements()
+        self._reserved: set[str] = set()
+        """Executors that are kept free for long-running tasks."""
         self._pools: dict[str, list[Executor]] = {}
 
     def _pool(self, service: str) -> list[Executor]:
@@ -39,20 +40,20 @@
         return self._pools[service]
 
     def place(self, step: StepProgress) -> None:
-        """Place the waiting tasks of a step as far as there is room."""
+        """Place the waiting tasks of a step as far as there is free capacity."""
         job = step.record.job
         queue = self._shard.queue_of(job)
         if queue is None:
-            self._held(step, "no queue")
+            self._set_held_by(step, "no queue")
             return
-        if self._memo.hopeless(queue.service, step.spec.reserved):
-            self._held(step, HELD_BY_CAPACITY)
+        if self._failed_placements.rules_out(queue.service, step.spec.reserved):
+            self._set_held_by(step, HELD_BY_CAPACITY)
             return
         tickets = None
         if queue.advice:
             tickets = self._shard.tickets.get((job.job_id, step.occurrence, step.position))
             if tickets is None:
-                self._held(step, "advice")
+                self._set_held_by(step, "advice")
                 return
         placer = StepPlacer(step, self._pool(queue.service), tickets)
         if step.spec.gang:
@@ -61,13 +62,13 @@
         for task in step.waiting:
             run = self._place_task(task, placer, tickets, task.number + 1)
             if run is None:
-                self._note_full(step, queue, placer)
+                self._record_unplaced(step, queue, placer)
                 return
-            self._shard.settle_plan(run)
+            self._shard.commit_plan(run)
         step.held_by = ""
 
-    def _held(self, step: StepProgress, reason: str) -> None:
-        """Log once what keeps a step's tasks from starting, with the figures that decided it."""
+    def _set_held_by(self, step: StepProgress, reason: str) -> None:
+        """Record why a step's tasks cannot start; log each change with the figures behind it."""
         if step.held_by == reason:
             return
         step.held_by = reason
@@ -91,18 +92,18 @@
         self, task: Task, placer: StepPlacer, tickets: Mapping[str, str] | None, number: int
     ) -> Run | None:
         spec = task.step.spec
-        if not self._allowed(task):
+        if not self._is_within_limit(task):
             return None
-        kept_free = () if spec.long_running else self._kept_free
-        executor = placer.choose(task, kept_free)
+        reserved = () if spec.long_running else self._reserved
+        executor = placer.choose(task, reserved)
         if executor is None:
             return None
-        placer.placed(executor)
+        placer.record_placement(executor)
         ticket = tickets[executor.name] if tickets else ""
         return self._shard.plan(task, executor, number, ticket, self._now)
 
-    def _allowed(self, task: Task) -> bool:
-        """Tell whether the task's organisation may have it running too."""
+    def _is_within_limit(self, task: Task) -> bool:
+        """Return whether starting the task keeps its organisation within its maximum."""
         organisation = task.step.record.job.organisation
         limits = self._policy.organisations.get(organisation)
         if limits is None:
@@ -112,7 +113,7 @@
     def _place_gang(
         self, step: StepProgress, placer: StepPlacer, tickets: Mapping[str, str] | None
     ) -> None:
-        """Place all tasks of a gang or none: a part of it only holds room and waits."""
+        """Place all tasks of a gang or none: a partial gang would occupy capacity and wait."""
         if any(task.run is not None for task in step.tasks):
             return
         number = max(task.number for task in step.tasks) + 1
@@ -121,24 +122,27 @@
             run = self._place_task(task, placer, tickets, number)
             if run is None:
                 for planned in runs:
-                    self._shard.unplan(planned)
+                    self._shard.discard_plan(planned)
                 return
             runs.append(run)
         for run in runs:
-            self._shard.settle_plan(run)
+            self._shard.commit_plan(run)
 
-    def _note_full(self, step: StepProgress, queue: Queue, placer: StepPlacer) -> None:
-        """Spare later steps the search, and keep room for tasks that must run at all times."""
+    def _record_unplaced(self, step: StepProgress, queue: Queue, placer: StepPlacer) -> None:
+        """Reserve an executor for a long-running task; spare later steps a search that must fail.
+
+        A need is recorded as failed only if no placement constraint or reservation limited it.
+        """
         spec = step.spec
-        if not self._allowed(step.waiting[0]):
-            self._held(step, "maximum of the organisation")
+        if not self._is_within_limit(step.waiting[0]):
+            self._set_held_by(step, "maximum of the organisation")
             return
-        self._held(step, HELD_BY_CAPACITY)
+        self._set_held_by(step, HELD_BY_CAPACITY)
         if spec.long_running:
-            roomiest = placer.roomiest()
-            if roomiest:
-                self._kept_free.add(roomiest.name)
+            least_utilised = placer.least_utilised()
+            if least_utilised:
+                self._reserved.add(least_utilised.name)
             return
-        conditions = spec.required_label or spec.most_per_executor or queue.advice
-        if not conditions and not self._kept_free:
-            self._memo.failed(queue.service, spec.reserved)
+        constraints = spec.required_label or spec.most_per_executor or queue.advice
+        if not constraints and not self._reserved:
+            self._failed_placements.add(queue.service, spec.reserved)
--- a/vanillawell/state/ranking.py
+++ b/vanillawell/state/ranking.py
@@ -1,4 +1,4 @@
-"""Rank the steps that wait: what must run at all times, then what still helps its caller."""
+"""Rank waiting steps: long-running tasks first, then by priority and chance to be in time."""
 
 from __future__ import annotations
 
@@ -7,65 +7,66 @@
 if TYPE_CHECKING:
     from vanillawell.state.work import StepProgress
 
-WORTHLESS_AFTER = 3.0
-"""Multiple of its objective after which a job helps nobody any more; it then waits for the rest.
+MAX_LATENESS = 3.0
+"""Multiple of its objective after which a job has no value to its caller and is served last.
 
-The published terms count a job as late up to this multiple, and as nothing beyond."""
+The published terms count a job as late up to this multiple, and not at all beyond it."""
 
-HEADROOM = 1.3
-"""Multiple of the expected work left that a job's time must hold for it to count as still in time.
+REMAINING_WORK_MARGIN = 1.3
+"""Multiple of the expected remaining work that must fit before the deadline of a job in time.
 
-Estimates are uneven and later steps may have to wait; without headroom the pool goes on starting
-jobs at the last moment, most of which then miss it."""
+Estimates vary and later steps may have to wait. Without a margin the pool keeps starting jobs at
+the last moment, most of which then miss their deadline."""
 
 
 class Rank(NamedTuple):
-    """What decides which of two steps is served first; the lower one is."""
+    """Sort key of a waiting step; the lowest rank is served first."""
 
-    ends: bool
+    terminates: bool
     """Whether its tasks end by themselves."""
 
     priority: int
-    """That of its queue."""
+    """Priority of its queue."""
 
     lateness: int
-    """0 while its job can still be in time, 1 once it is late, 2 once it helps nobody."""
+    """0 while its job can still be in time, 1 if it is late, 2 if it has no value any more."""
 
-    waits: bool
-    """Whether nothing was done for its job yet."""
+    not_started: bool
+    """Whether no work was done for its job yet."""
 
     @property
     def shared(self) -> bool:
-        """Tell whether organisations get their shares of the room for such steps.
+        """Return whether organisations get their shares of the capacity among steps of this rank.
 
-        Those of begun jobs are left out, since what was spent on them would be lost.
+        Steps of started jobs are excluded, since the work already spent on them would be wasted.
         """
-        return self.ends and self.waits
+        return self.terminates and self.not_started
 
 
 def rank_of(step: StepProgress, priority: int, now: float) -> Rank:
-    """Return the rank of a step of a queue with this priority, of which 0 comes first.
+    """Return the rank of a step of a queue with the given priority (0 is served first).
 
-    Under a peak a pool can't meet every objective. Served in the order of their deadlines, all jobs
-    would be late together; so those that can no longer be in time wait for the others, and jobs
-    that have begun go before those that have not.
+    During a peak a pool cannot meet every objective. If jobs were served in the order of their
+    deadlines, all of them would be late. Jobs that can no longer be in time therefore wait for the
+    others, and started jobs are served before jobs that have not started.
     """
-    return Rank(not step.spec.long_running, priority, _lateness(step, now), not _begun(step))
+    return Rank(not step.spec.long_running, priority, _lateness(step, now), not _has_started(step))
 
 
 def _lateness(step: StepProgress, now: float) -> int:
-    """Return 0 for a step whose job can still be in time, 1 for a late one, 2 for a worthless one.
+    """Return the lateness of a step's job, as defined by `Rank.lateness`.
 
-    A step that has begun is served like one in time: what was spent on it would be lost.
+    A started step counts as in time until its job is without value, since the work already spent on
+    it would be wasted.
     """
     record = step.record
-    if now > record.seen_at + WORTHLESS_AFTER * (record.deadline - record.seen_at):
+    if now > record.seen_at + MAX_LATENESS * (record.deadline - record.seen_at):
         return 2
-    begun = any(task.done or task.run for task in step.tasks)
-    left = 0.0 if begun else HEADROOM * record.critical_paths[step.position]
-    return int(now + left > record.deadline)
+    started = any(task.done or task.run for task in step.tasks)
+    remaining = 0.0 if started else REMAINING_WORK_MARGIN * record.critical_paths[step.position]
+    return int(now + remaining > record.deadline)
 
 
-def _begun(step: StepProgress) -> bool:
-    """Tell whether work was done for the step's job already."""
+def _has_started(step: StepProgress) -> bool:
+    """Return whether any work was done for the step's job."""
     return step.position > 0 or any(task.done or task.run for task in step.tasks)
--- a/vanillawell/state/shard.py
+++ b/vanillawell/state/shard.py
@@ -1,8 +1,8 @@
-"""Decide for one shard of jobs: what starts where, what stops, and what each report means.
+"""Scheduling state of one shard: place tasks, stop runs and apply executor reports.
 
 A shard is a set of services with their queues, jobs and executors; one entry owns it at a time.
-Nothing here does I/O. Decisions are collected in an `Outbox`; starts and confirmed ends leave it
-only after the jobs they concern have been stored.
+This module does no I/O. Decisions are collected in an `Outbox`; starts and confirmations of ends
+are sent only after the job records they concern have been stored.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING
 
 from vanillawell.state.arrivals import ArrivalMeter
-from vanillawell.state.copies import to_copy
+from vanillawell.state.copies import runs_to_copy
 from vanillawell.state.durations import DurationStatistics
 from vanillawell.state.executors import QUARANTINE_TIME, Executor, by_service
 from vanillawell.state.job_table import JobTable
@@ -23,7 +23,7 @@
 from vanillawell.state.placement import StepPlacer
 from vanillawell.state.placement_pass import PlacementPass
 from vanillawell.state.ranking import rank_of
-from vanillawell.state.shares import in_shares
+from vanillawell.state.shares import order_by_share
 from vanillawell.state.stalls import stalled_runs
 from vanillawell.state.work import (
     Ending,
@@ -46,74 +46,78 @@
 log = logging.getLogger(__name__)
 
 DEFAULT_ATTEMPTS = 3
-"""Failed runs that fail a job whose queue is no longer configured."""
+"""Failed runs of a task after which its job fails, if the job's queue is no longer configured."""
 
 
 class Shard:
-    """Own the state of one shard."""
+    """Scheduling state of one shard.
 
-    def __init__(self, kept: float) -> None:
+    `retention` is the time in seconds for which final jobs can be queried.
+    """
+
+    def __init__(self, retention: float) -> None:
         self.ledger = Ledger()
-        self.job_table = JobTable(self._attempts, kept)
+        self.job_table = JobTable(self._attempts, retention)
         self.durations = DurationStatistics()
         self.arrivals = ArrivalMeter()
         self.outbox = Outbox()
         self.tickets: dict[tuple[str, int, int], Mapping[str, str]] = {}
-        """Tickets by executor for steps of queues that need advice."""
+        """Tickets by executor, for steps of queues that require advice."""
         self._policy: WorkPolicy | None = None
         self._queues: dict[str, Queue] = {}
-        self._names_in_use: set[str] = set()
-        """Queues of the jobs that were followed so far."""
+        self._queues_used: set[str] = set()
+        """Names of the queues of all jobs that were tracked so far."""
 
     def _attempts(self, queue: str) -> int:
-        known = self._queues.get(queue)
-        return known.attempts if known else DEFAULT_ATTEMPTS
+        rules = self._queues.get(queue)
+        return rules.attempts if rules else DEFAULT_ATTEMPTS
 
     @property
     def policy(self) -> WorkPolicy | None:
-        """Return the configuration in force."""
+        """Return the configuration in force; None before the first one was applied."""
         return self._policy
 
     def apply_policy(self, policy: WorkPolicy) -> None:
-        """Use a newer configuration; queues that it drops keep their last rules."""
+        """Apply a newer configuration; queues that it drops keep their last rules."""
         self._policy = policy
         self._queues.update(policy.queues)
 
     def queues_in_use(self) -> dict[str, Queue]:
-        """Return the rules, as far as known, of the queues of all jobs that were followed."""
+        """Return the available rules of the queues of all tracked jobs."""
         return {
-            name: self._queues[name] for name in sorted(self._names_in_use) if name in self._queues
+            name: self._queues[name] for name in sorted(self._queues_used) if name in self._queues
         }
 
     def lacks_queue_rules(self) -> bool:
-        """Tell whether there are jobs of queues whose rules are not known."""
-        return not self._names_in_use <= self._queues.keys()
+        """Return whether the rules of any tracked job's queue are unavailable."""
+        return not self._queues_used <= self._queues.keys()
 
     def restore_queue_rules(self, queues: Mapping[str, Queue]) -> None:
-        """Take over the rules of queues that the configuration has dropped since."""
+        """Add stored rules of queues that the configuration no longer contains."""
         self._queues = {**queues, **self._queues}
         for record in self.job_table.jobs.values():
             self._set_objective(record)
 
     def queue_of(self, job: Job) -> Queue | None:
-        """Return the rules of a job's queue."""
+        """Return the rules of a job's queue; None if they are unavailable."""
         return self._queues.get(job.queue)
 
     def admit(self, job: Job, now: float, is_backlog: bool = False) -> JobRecord | None:
-        """Begin to follow an accepted job; None if it is known already.
+        """Start tracking an accepted job; return None if it is already tracked.
 
-        `is_backlog` says that it was accepted before this process owned the shard.
+        `is_backlog` marks a job that was accepted before this process owned the shard. It does not
+        count as an arrival.
         """
         if job.job_id in self.job_table.jobs:
             return None
         record = JobRecord(job, now)
-        self._names_in_use.add(job.queue)
+        self._queues_used.add(job.queue)
         self._set_objective(record)
         self.job_table.add(record)
         self.job_table.changed[job.job_id] = record
         queue = self.queue_of(job)
         if queue is not None and not is_backlog:
-            self.arrivals.note(queue.service, job, self.durations, now)
+            self.arrivals.record(queue.service, job, self.durations, now)
         return record
 
     def _set_objective(self, record: JobRecord) -> None:
@@ -128,18 +132,21 @@
     def restore(
         self, record: JobRecord, runs: Iterable[Run], bound: Callable[[str], InheritedLeaseBound]
     ) -> None:
-        """Take over a job with the runs that the store tells of; `bound` is called by executor."""
+        """Restore a stored job with its open runs.
+
+        `bound` returns the inherited lease bound of an executor by its id.
+        """
         if not record.state.final:
-            self._names_in_use.add(record.job.queue)
+            self._queues_used.add(record.job.queue)
         self._set_objective(record)
         self.job_table.add(record)
         for run in runs:
-            self.ledger.recall(run.task, run, bound(run.executor))
+            self.ledger.restore(run.task, run, bound(run.executor))
             if record.state.final or run.task.done:
                 self.request_stop(run)
 
     def cancel(self, job_id: str, wall: float) -> bool:
-        """Cancel a job and ask for all its runs to be stopped; False if it was final."""
+        """Cancel a job and request a stop of all its runs; return False if it was final."""
         record = self.job_table.cancel(job_id, wall)
         if record is None:
             return False
@@ -153,7 +160,7 @@
                 self.request_stop(run)
 
     def request_stop(self, run: Run) -> None:
-        """Ask for a run to be stopped."""
+        """Request that a run is stopped, unless that was requested before."""
         if run.stop_requested:
             return
         run.stop_requested = True
@@ -161,31 +168,31 @@
             self.outbox.stop(run)
 
     def register(self, facts: ExecutorFacts, now: float, wall: float) -> None:
-        """Take in a change in the registry of executors."""
-        self._settle(self.ledger.register(facts, now), now, wall)
+        """Apply an executor's registration."""
+        self._apply_ends(self.ledger.register(facts, now), now, wall)
 
     def mark_terminated(self, name: str, incarnation: int, now: float, wall: float) -> None:
-        """Take in the proof that a life of an executor is over."""
-        self._settle(self.ledger.mark_terminated(name, incarnation), now, wall)
+        """Close the runs of an incarnation that is confirmed to have terminated."""
+        self._apply_ends(self.ledger.mark_terminated(name, incarnation), now, wall)
 
     def expire(self, now: float, wall: float) -> None:
-        """Give up runs whose lease has surely expired."""
+        """Close runs whose lease has expired for certain."""
         ended = self.ledger.expire(now)
         for name, runs in Counter(item.run.executor for item in ended).items():
             log.warning("leases expired", extra={"executor": name, "runs": runs})
-        self._settle(ended, now, wall)
+        self._apply_ends(ended, now, wall)
 
     def take_report(
         self, executor: Executor, report: HoldReport, sent: float, now: float, wall: float
     ) -> None:
-        """Take in a report of an executor on a call that was sent at `sent`."""
+        """Apply an executor's report, the answer to a call that was sent at `sent`."""
         outcome = self.ledger.take_report(executor, report, sent, now, self.job_table.find)
         numbers = [end.sequence for end in report.ended if end.sequence in executor.unsaved_ends]
         self.outbox.ends.extend(EndConfirmation(executor, number) for number in numbers)
-        self._settle(outcome.ended, now, wall)
+        self._apply_ends(outcome.ended, now, wall)
         for end in outcome.late_ends:
-            self._take_late_end(end, now, wall)
-        for run in outcome.recheck:
+            self._apply_late_end(end, now, wall)
+        for run in outcome.unconfirmed:
             self.request_stop(run)
         for run in executor.runs.values():
             if run.superseded and (run.task.done or run.task.step.record.state.final):
@@ -193,10 +200,10 @@
         for row in outcome.orphans:
             if row.task_id is not None:
                 self.outbox.stop_orphan(OrphanedRun(executor.name, row.task_id, row.run))
-        self._leave_stalled(executor, now)
+        self._stop_stalled(executor, now)
 
-    def _leave_stalled(self, executor: Executor, now: float) -> None:
-        """Start the tasks of an executor elsewhere if all of them stand still there."""
+    def _stop_stalled(self, executor: Executor, now: float) -> None:
+        """Stop the runs of a stalled executor, so that their tasks start elsewhere."""
         stalled = stalled_runs(executor, now)
         if not stalled:
             return
@@ -207,8 +214,8 @@
         for run in stalled:
             self.request_stop(run)
 
-    def _take_late_end(self, end: EndRow, now: float, wall: float) -> None:
-        """Take in the end of a run that had been given up."""
+    def _apply_late_end(self, end: EndRow, now: float, wall: float) -> None:
+        """Apply the end of a run that had already been closed as lost or expired."""
         task = self.job_table.find(end.task_id) if end.task_id else None
         if task is None:
             return
@@ -217,23 +224,23 @@
             return
         if task.run is not None:
             self.request_stop(task.run)
-        self.job_table.ended(task, Ending.DONE, end.checkpoint, now, wall)
+        self.job_table.record_end(task, Ending.DONE, end.checkpoint, now, wall)
 
-    def _settle(self, ended: Iterable[EndedRun], now: float, wall: float) -> None:
-        """Let the jobs of ended runs go on."""
+    def _apply_ends(self, ended: Iterable[EndedRun], now: float, wall: float) -> None:
+        """Update the jobs of ended runs."""
         for item in ended:
-            self._settle_one(item, now, wall)
+            self._apply_end(item, now, wall)
 
-    def _settle_one(self, item: EndedRun, now: float, wall: float) -> None:
+    def _apply_end(self, item: EndedRun, now: float, wall: float) -> None:
         run, task = item.run, item.run.task
         record = task.step.record
         was_final = record.state.final
         if item.ending is Ending.DONE and run.started is not None:
-            self.durations.learn(record.job.queue, task.step.spec, now - run.started)
+            self.durations.record(record.job.queue, task.step.spec, now - run.started)
         if item.ending is Ending.FAILED:
             task.failed_on = run.executor
-        self.job_table.ended(task, item.ending, item.checkpoint, now, wall)
-        self._tell_end(item, now)
+        self.job_table.record_end(task, item.ending, item.checkpoint, now, wall)
+        self._log_end(item, now)
         if task.done:
             self._stop_copies(task)
         if record.state.final and not was_final:
@@ -249,14 +256,17 @@
             )
 
     def _stop_copies(self, task: Task) -> None:
-        """Stop what still runs of a done task; silent executors are told once they answer."""
+        """Stop the remaining runs of a done task.
+
+        Runs on unresponsive executors are stopped when their executor answers again.
+        """
         for run in task.open_runs:
             if not self.ledger.executors[run.executor].is_unconfirmed:
                 self.request_stop(run)
 
-    def _copy_from_silent(self, now: float) -> None:
-        """Let tasks that may run twice begin elsewhere while their executors are silent."""
-        for run in to_copy(self.ledger.executors.values(), now):
+    def _copy_from_unresponsive(self, now: float) -> None:
+        """Let speculative tasks start elsewhere while their executors are unresponsive."""
+        for run in runs_to_copy(self.ledger.executors.values(), now):
             record = run.task.step.record
             self.ledger.supersede(run)
             self.job_table.changed[record.job.job_id] = record
@@ -272,8 +282,11 @@
                 },
             )
 
-    def _tell_end(self, item: EndedRun, now: float) -> None:
-        """Tell of an end: of tasks that are done with the next turn, of all others at once."""
+    def _log_end(self, item: EndedRun, now: float) -> None:
+        """Log the end of a run.
+
+        Completed tasks are logged together in the next scheduling cycle, other ends immediately.
+        """
         run, step = item.run, item.run.task.step
         seconds = round(now - run.started, 3) if run.started else None
         if item.ending is Ending.DONE and not step.spec.long_running:
@@ -295,39 +308,39 @@
         )
 
     def mark_not_started(self, run: Run, now: float, wall: float) -> None:
-        """Take in the proof that a run was not and will not be started."""
+        """Close a run that is confirmed not to have started and cannot start any more."""
         if self.ledger.close(run):
-            self._settle_one(EndedRun(run, Ending.LOST), now, wall)
+            self._apply_end(EndedRun(run, Ending.LOST), now, wall)
 
     def place(self, now: float, wall: float) -> None:
-        """Start what can be started now."""
+        """Decide which waiting tasks start now, and on which executors."""
         if self._policy is None:
             return
         self.job_table.begin_due(wall)
-        self._copy_from_silent(now)
+        self._copy_from_unresponsive(now)
         pass_ = PlacementPass(self, self._policy, now)
         waiting = [step for step in self.job_table.open_steps if step.has_waiting]
         waiting.sort(key=lambda step: step.record.deadline)
         ranked = sorted(((self._rank(step, now), step) for step in waiting), key=itemgetter(0))
         for rank, group in itertools.groupby(ranked, key=itemgetter(0)):
             steps = [step for _, step in group]
-            for step in in_shares(steps, self._standing) if rank.shared else steps:
+            for step in order_by_share(steps, self._weighted_usage) if rank.shared else steps:
                 pass_.place(step)
 
     def _rank(self, step: StepProgress, now: float) -> Rank:
         queue = self.queue_of(step.record.job)
         return rank_of(step, queue.priority if queue else 0, now)
 
-    def _standing(self, organisation: str) -> float:
-        """Return what an organisation has running for its weight, in thousandths of a core."""
+    def _weighted_usage(self, organisation: str) -> float:
+        """Return an organisation's charged processors, divided by the weight of its share."""
         limits = self._policy.organisations.get(organisation) if self._policy else None
         weight = limits.share if limits and limits.share > 0 else 1.0
         return self.ledger.usage(organisation).cpu / weight
 
     def can_place_elsewhere(self, run: Run, now: float) -> bool:
-        """Tell whether another executor of its pool has a place for the task of a run.
+        """Return whether another executor of the pool has free capacity for the task of a run.
 
-        None has as long as it is not known which of them may run it.
+        False while tickets are required and the executors that may run it are not known yet.
         """
         executor = self.ledger.executors[run.executor]
         step = run.task.step
@@ -344,18 +357,18 @@
         return StepPlacer(step, others, tickets).choose(run.task) is not None
 
     def plan(self, task: Task, executor: Executor, number: int, ticket: str, now: float) -> Run:
-        """Decide on a run; it is charged from this moment."""
+        """Create a planned run and charge it to its executor."""
         task.number = number
-        life = executor.facts.incarnation
-        run = Run(task, number, executor.name, life, RunPhase.PLANNED, now, ticket=ticket)
+        incarnation = executor.facts.incarnation
+        run = Run(task, number, executor.name, incarnation, RunPhase.PLANNED, now, ticket=ticket)
         self.ledger.charge(executor, run)
         return run
 
-    def settle_plan(self, run: Run) -> None:
-        """Let a planned run go out once it is stored."""
-        self.job_table.begun(run.task)
+    def commit_plan(self, run: Run) -> None:
+        """Put a planned run into the outbox, to be ordered once it is stored."""
+        self.job_table.record_start(run.task)
         self.outbox.planned.append(run)
 
-    def unplan(self, run: Run) -> None:
-        """Take a plan back that was not settled."""
+    def discard_plan(self, run: Run) -> None:
+        """Discard a planned run that was not committed."""
         self.ledger.close(run)
--- a/vanillawell/state/shares.py
+++ b/vanillawell/state/shares.py
@@ -1,8 +1,9 @@
-"""Serve what waits so that each organisation gets its share when there isn't room for all.
+"""Order waiting steps so that each organisation gets its share of scarce capacity.
 
-An organisation that sends many times its usual fills each queue's line; served by deadlines alone,
-it would take the room of all others. So the next place goes to whoever has least running for its
-weight, and each organisation's own steps stay in their order.
+An organisation that submits many times its usual number of jobs would take the capacity of all
+others if steps were served by their deadlines alone. The next step is therefore always one of the
+organisation with the lowest usage relative to its weight; the steps of one organisation keep their
+order.
 """
 
 from __future__ import annotations
@@ -18,25 +19,25 @@
     from vanillawell.state.work import StepProgress
 
 
-def in_shares(
-    steps: Iterable[StepProgress], standing: Callable[[str], float]
+def order_by_share(
+    steps: Iterable[StepProgress], weighted_usage: Callable[[str], float]
 ) -> Iterator[StepProgress]:
-    """Yield steps so that organisations get their turns by what they have running.
+    """Yield steps, always one of the organisation with the lowest weighted usage next.
 
-    `standing` tells how much an organisation has running for its weight. It is asked anew after
-    each step, since the caller may have started that one.
+    `weighted_usage` returns an organisation's usage divided by its weight. It is called again after
+    each step, since the caller may have started the tasks of that step.
     """
-    lines: defaultdict[str, deque[StepProgress]] = defaultdict(deque)
+    waiting: defaultdict[str, deque[StepProgress]] = defaultdict(deque)
     for step in steps:
-        lines[step.record.job.organisation].append(step)
-    if len(lines) == 1:
-        yield from itertools.chain.from_iterable(lines.values())
+        waiting[step.record.job.organisation].append(step)
+    if len(waiting) == 1:
+        yield from itertools.chain.from_iterable(waiting.values())
         return
-    entered = itertools.count()
-    turns = [(standing(name), next(entered), name) for name in lines]
-    heapq.heapify(turns)
-    while turns:
-        _, _, name = heapq.heappop(turns)
-        yield lines[name].popleft()
-        if lines[name]:
-            heapq.heappush(turns, (standing(name), next(entered), name))
+    tie_breaker = itertools.count()
+    heap = [(weighted_usage(name), next(tie_breaker), name) for name in waiting]
+    heapq.heapify(heap)
+    while heap:
+        _, _, name = heapq.heappop(heap)
+        yield waiting[name].popleft()
+        if waiting[name]:
+            heapq.heappush(heap, (weighted_usage(name), next(tie_breaker), name))
--- a/vanillawell/state/trial_placement.py
+++ b/vanillawell/state/trial_placement.py
@@ -1,4 +1,4 @@
-"""Tell how many more machines it takes until lasting tasks that wait all have a place."""
+"""Count the machines that a pool lacks to place all waiting long-running tasks."""
 
 from __future__ import annotations
 
@@ -17,55 +17,57 @@
 
 @dataclass(slots=True)
 class _Bin:
-    """What a machine has left for lasting tasks."""
+    """Capacity of a machine that is available to long-running tasks."""
 
     free: Resources
     of_step: Counter[StepProgress] = field(default_factory=Counter)
 
-    def takes(self, step: StepProgress) -> bool:
-        """Tell whether a task of a step has a place here."""
-        bound = step.spec.most_per_executor
-        crowded = bool(bound) and self.of_step[step] >= bound
-        return not crowded and step.spec.reserved.fits(self.free)
+    def fits(self, step: StepProgress) -> bool:
+        """Return whether a task of a step fits on the machine."""
+        limit = step.spec.most_per_executor
+        at_limit = bool(limit) and self.of_step[step] >= limit
+        return not at_limit and step.spec.reserved.fits(self.free)
 
-    def put(self, step: StepProgress) -> None:
-        """Give a task of a step a place."""
+    def add(self, step: StepProgress) -> None:
+        """Place a task of a step on the machine."""
         self.free -= step.spec.reserved
         self.of_step[step] += 1
 
 
 def _bin_of(executor: Executor) -> _Bin:
-    """Return what an executor has left beside its lasting tasks; the others end soon."""
-    found = _Bin(executor.facts.capacity)
+    """Return an executor's capacity less its long-running tasks; all other tasks end soon."""
+    bin_ = _Bin(executor.facts.capacity)
     for run in executor.runs.values():
         if run.task.step.spec.long_running:
-            found.put(run.task.step)
-    return found
+            bin_.add(run.task.step)
+    return bin_
 
 
 def count_missing_machines(
     executors: Iterable[Executor],
-    on_their_way: int,
+    arriving: int,
     capacity: Resources,
     steps: Sequence[StepProgress],
 ) -> int:
-    """Return how many machines of a `capacity` lasting tasks of `steps` still lack.
+    """Return how many more machines the waiting long-running tasks of `steps` need.
 
-    Memory and the bounds of a step fill machines as well as processors do. What speaks against
-    single executors, such as labels, is left out: more machines would not help there.
+    The result counts machines of the given `capacity`, beyond the `executors` and the machines that
+    are `arriving`. Memory and the per-executor limits of steps are considered as well as
+    processors. Labels and other constraints on single executors are not: more machines would not
+    help there.
     """
     waiting = [(step, len(step.waiting)) for step in steps if step.spec.long_running]
     if not any(count for _, count in waiting):
         return 0
-    bins = [_bin_of(item) for item in executors] + [_Bin(capacity) for _ in range(on_their_way)]
-    had = len(bins)
+    bins = [_bin_of(item) for item in executors] + [_Bin(capacity) for _ in range(arriving)]
+    existing = len(bins)
     for step, count in waiting:
         if not step.spec.reserved.fits(capacity):
             continue
         for _ in range(count):
-            place = next((item for item in bins if item.takes(step)), None)
-            if place is None:
-                place = _Bin(capacity)
-                bins.append(place)
-            place.put(step)
-    return len(bins) - had
+            target = next((item for item in bins if item.fits(step)), None)
+            if target is None:
+                target = _Bin(capacity)
+                bins.append(target)
+            target.add(step)
+    return len(bins) - existing
--- a/vanillawell/state/work.py
+++ b/vanillawell/state/work.py
@@ -1,4 +1,7 @@
-"""Describe jobs as plain data: steps of tasks, and the runs of a task on executors."""
+"""Data model of jobs: their steps and tasks, and the runs of tasks on executors.
+
+Times are seconds on the monotonic clock (`vanillawell.clock`) unless stated otherwise.
+"""
 
 from __future__ import annotations
 
@@ -7,12 +10,12 @@
 from typing import NamedTuple
 
 MILLICORES_PER_CORE = 1000
-"""Thousandths of a core in a core."""
+"""Thousandths of a core (the unit of `Resources.cpu`) in one core."""
 
 
 @dataclass(frozen=True, slots=True)
 class Resources:
-    """An amount of what executors offer and tasks need."""
+    """Amounts of processors, memory and devices, offered by an executor or needed by a task."""
 
     cpu: int = 0
     """Thousandths of a core."""
@@ -29,68 +32,68 @@
     def __sub__(self, other: Resources) -> Resources:
         return Resources(self.cpu - other.cpu, self.memory - other.memory, self.gpu - other.gpu)
 
-    def fits(self, room: Resources) -> bool:
-        """Tell whether this amount is within `room`."""
-        return self.cpu <= room.cpu and self.memory <= room.memory and self.gpu <= room.gpu
+    def fits(self, free: Resources) -> bool:
+        """Return whether this amount fits into `free` in every dimension."""
+        return self.cpu <= free.cpu and self.memory <= free.memory and self.gpu <= free.gpu
 
 
 NO_RESOURCES = Resources()
-"""No resources at all."""
+"""The empty amount."""
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """A number of equal tasks of a job, and where and how they may run."""
+    """A group of identical tasks of a job, with their requirements and placement constraints."""
 
     count: int
     need: Resources
-    """What each task needs."""
+    """Resources that each task needs."""
 
     estimate: float
-    """Seconds that the caller expects a task to take; often far off."""
+    """Caller's estimate of a task's run time, in seconds; often inaccurate."""
 
     after: tuple[int, ...] = ()
-    """Earlier steps all of whose tasks must be done first."""
+    """Positions of earlier steps that must be completed before this one may start."""
 
     saves_progress: bool = False
-    """Whether tasks leave checkpoints from which a later run can resume."""
+    """Whether tasks write checkpoints from which a later run can resume."""
 
     gang: bool = False
-    """Whether the tasks work only while all of them run, and end together."""
+    """Whether the tasks make progress only while all of them run, and end together."""
 
     same_rack: bool = False
-    """Whether the tasks are slower when they run on more than one rack."""
+    """Whether the tasks run slower when they are spread over more than one rack."""
 
     required_label: str = ""
-    """Label that an executor must have; empty for any."""
+    """Label that an executor must have; empty if none is required."""
 
     data_rack: str = ""
-    """Rack on which the tasks are fastest; empty for none."""
+    """Rack that holds the input data, where the tasks run fastest; empty for none."""
 
     most_per_executor: int = 0
-    """Most tasks of the step on one executor; 0 for no bound."""
+    """Maximum number of the step's tasks on one executor; 0 for no limit."""
 
     speculative: bool = False
-    """Whether copies of a task may run side by side; the first that is done counts."""
+    """Whether several runs of a task may execute concurrently; the first to complete counts."""
 
     long_running: bool = False
     """Whether tasks run until the job is cancelled, and are restarted whenever they end."""
 
     image: str = ""
-    """Program that the tasks run; tasks of one image behave alike."""
+    """Program that the tasks run; run times are measured per image."""
 
     tail_target: float = 0.0
-    """Seconds below which the tail of the tasks' own response times must stay; 0 for none."""
+    """Upper limit for the tail latency of the tasks' own responses, in seconds; 0 for none."""
 
     fills: bool = False
-    """Whether the tasks use only processor time that others leave, and so reserve none."""
+    """Whether the tasks use only idle processor time, and therefore reserve none."""
 
     most_away: int = 0
-    """Tasks that planned work may take away at the same time; 0 for no bound."""
+    """Maximum number of tasks that planned maintenance may interrupt at once; 0 for no limit."""
 
     @property
     def reserved(self) -> Resources:
-        """Return what a task takes from an executor's capacity."""
+        """Return the resources that a task reserves on its executor."""
         if self.fills:
             return Resources(0, self.need.memory, self.need.gpu)
         return self.need
@@ -98,22 +101,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Job:
-    """What a caller handed in, as accepted."""
+    """A job as submitted by a caller and accepted."""
 
     job_id: str
     queue: str
     organisation: str
-    """Empty for a job that came without a key."""
+    """Empty for a job that was submitted without a key."""
 
     payload: str
-    """Text that every task gets; it means nothing here."""
+    """Opaque text that is passed to every task."""
 
     steps: tuple[Step, ...]
     accepted_at: float
     """Seconds since the epoch."""
 
     times: int = 0
-    """How often the steps run; 0 for once, as soon as possible."""
+    """Number of scheduled occurrences; 0 for a job that runs once, as soon as possible."""
 
     first_due: float = 0.0
     """Seconds since the epoch at which the first occurrence is due."""
@@ -127,12 +130,12 @@
 
     @property
     def occurrences(self) -> int:
-        """Return how often the steps run."""
+        """Return the number of times that the steps run."""
         return max(1, self.times)
 
 
 class TaskId(NamedTuple):
-    """Name one task of one occurrence of a job."""
+    """Identifier of one task of one occurrence of a job."""
 
     job_id: str
     occurrence: int
@@ -141,7 +144,7 @@
 
 
 class JobState(StrEnum):
-    """How far a job has come."""
+    """Lifecycle state of a job."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -151,44 +154,47 @@
 
     @property
     def final(self) -> bool:
-        """Tell whether the job will never change again."""
+        """Return whether the state is terminal."""
         return self in (JobState.COMPLETED, JobState.FAILED, JobState.CANCELLED)
 
 
 class Ending(StrEnum):
-    """How a run ended."""
+    """Outcome of a run."""
 
     DONE = "done"
     FAILED = "failed"
     STOPPED = "stopped"
     LEASE_EXPIRED = "lapsed"
-    """Its lease expired."""
+    """The lease of its executor expired."""
     GANG_BROKEN = "broken"
-    """Another member of its gang ended."""
+    """Another member of its gang ended before it."""
     GANG_INCOMPLETE = "alone"
-    """The other members of its gang did not arrive in time."""
+    """The other members of its gang did not start in time."""
     LOST = "lost"
-    """It is proved that it does not run, and nothing says how it ended."""
+    """The run is confirmed not to be running, and its outcome is unknown."""
 
 
 class RunPhase(StrEnum):
-    """What is known of a run that occupies an executor."""
+    """Phase of a run that is charged to an executor."""
 
     PLANNED = "planned"
-    """Decided; the order must not go out before the decision is stored."""
+    """Decided; the start order must not be sent before the decision is stored."""
     ORDERED = "ordered"
-    """The order is on its way."""
+    """The start order is being sent."""
     UNCERTAIN = "uncertain"
-    """The order got no answer; it may be carried out seconds later."""
+    """The start order got no answer; the executor may still execute it seconds later."""
     INHERITED = "recalled"
-    """Read from the store after a change of owner; not yet seen at the executor."""
+    """Read from the store after a change of owner; not yet reported by the executor."""
     RUNNING = "running"
-    """The executor has confirmed it."""
+    """Confirmed by the executor."""
 
 
 @dataclass(slots=True, eq=False)
 class Run:
-    """One start of a task on one executor; it is charged there until it is proved over."""
+    """One attempt to run a task on one executor.
+
+    It is charged to the executor until it is confirmed to have ended.
+    """
 
     task: Task
     number: int
@@ -196,85 +202,85 @@
     incarnation: int
     phase: RunPhase
     phase_since: float
-    """When the present phase began, on the clock of decisions."""
+    """When the present phase began."""
 
     stop_requested: bool = False
     stop_confirmed: float | None = None
-    """When the executor confirmed a stop order; from then on this run cannot begin there."""
+    """When the executor confirmed a stop order; after that the run cannot start there any more."""
 
     started: float | None = None
     """When the executor confirmed the start."""
 
     percent: int = 0
-    """How far it has come, as last reported."""
+    """Progress in per cent, as last reported."""
 
     first_reported_at: float | None = None
-    """When a report first showed it."""
+    """When it first appeared in a report."""
 
     first_reported_percent: int = 0
-    """How far it had come then; not all of it need be its own work."""
+    """Progress in that first report, which may include work of earlier runs (checkpoints)."""
 
     progressed_at: float | None = None
-    """When a report first showed it, or last showed it further than before."""
+    """When a report last showed progress; initially the time of the first report."""
 
     is_available: bool = False
-    """Whether a long-running task is past its start-up and works at full pace, as last reported by
-    an executor that still answers."""
+    """Whether a long-running task has finished its start-up and runs at full pace, as last reported
+    by an executor that still answers."""
 
     tail: float = 0.0
-    """Last reported tail of response times, in seconds, of a task that has a target for it."""
+    """Last reported tail latency of a task that has a target for it, in seconds."""
 
     pace: int = 100
-    """Percentage of full pace at which the run was last told to work."""
+    """Percentage of full pace that was last set for the run."""
 
     superseded: bool = False
-    """Whether a newer run of its task may go on beside it, on another executor."""
+    """Whether a newer run of its task may execute concurrently on another executor."""
 
     ticket: str = ""
-    """Proof that the run's step may use this executor, where the queue asks for one."""
+    """Ticket that allows the run's step to use this executor, where the queue requires one."""
 
     @property
     def reserved(self) -> Resources:
-        """Return what the run takes from its executor."""
+        """Return the resources that the run reserves on its executor."""
         return self.task.step.spec.reserved
 
     def enter_phase(self, phase: RunPhase, now: float) -> None:
-        """Change the phase."""
+        """Set the phase and the time at which it began."""
         self.phase = phase
         self.phase_since = now
 
 
 @dataclass(slots=True, eq=False)
 class Task:
-    """One task; at most one run of it is open at any time, unless copies of it are allowed."""
+    """One task; at most one run of it is open at a time, unless its step is speculative."""
 
     task_id: TaskId
     step: StepProgress
     number: int = 0
-    """Number of its latest run; numbers only rise."""
+    """Number of its latest run; strictly increasing."""
 
     run: Run | None = None
     superseded_runs: list[Run] = field(default_factory=list)
-    """Superseded runs that may still go on, where copies are allowed."""
+    """Superseded runs of a speculative task that may still be executing."""
 
     failures: int = 0
     checkpoint: str = ""
     done: bool = False
     failed_on: str = ""
-    """Executor of the latest failed run."""
+    """Executor of the most recent failed run."""
 
     changed: float = 0.0
-    """When its latest run ended, on the clock of decisions."""
+    """When its latest run ended."""
 
     @property
     def open_runs(self) -> list[Run]:
-        """Return its runs that are not over for certain."""
+        """Return the runs that are not confirmed to have ended."""
         return [*self.superseded_runs, self.run] if self.run else list(self.superseded_runs)
 
 
 @dataclass(slots=True, eq=False)
 class StepProgress:
-    """How far one occurrence of one step has come."""
+    """Progress of one step within one occurrence of its job."""
 
     record: JobRecord
     occurrence: int
@@ -282,16 +288,16 @@
     spec: Step
     tasks: list[Task] = field(default_factory=list)
     left: int = 0
-    """Tasks that are not done."""
+    """Number of tasks that are not done."""
 
     failed_gangs: int = 0
-    """Runs of the whole gang that failed."""
+    """Number of failed runs of the whole gang."""
 
     failed_number: int = 0
-    """Number of the latest of these; members of a gang share their numbers."""
+    """Run number of the latest failed gang run; all members of a gang run share it."""
 
     held_by: str = ""
-    """What keeps its waiting tasks from starting, as last logged; empty if nothing does."""
+    """Reason why its waiting tasks cannot start, as last logged; empty if they can."""
 
     def __post_init__(self) -> None:
         job_id = self.record.job.job_id
@@ -303,47 +309,48 @@
 
     @property
     def has_waiting(self) -> bool:
-        """Tell whether there are tasks that neither run nor are done."""
+        """Return whether any task is neither running nor done."""
         return any(not task.done and task.run is None for task in self.tasks)
 
     @property
     def waiting(self) -> list[Task]:
-        """Return the tasks that neither run nor are done."""
+        """Return the tasks that are neither running nor done."""
         return [task for task in self.tasks if not task.done and task.run is None]
 
 
 @dataclass(slots=True, eq=False)
 class JobRecord:
-    """A job and everything that has happened to it."""
+    """A job with its scheduling state."""
 
     job: Job
     seen_at: float
-    """When this process learned of the job, on the clock of decisions."""
+    """When this process admitted the job, or its acceptance time if it was read from the store."""
 
     state: JobState = JobState.QUEUED
     occurrences: dict[int, list[StepProgress]] = field(default_factory=dict)
-    """Occurrences under way, by number."""
+    """Steps of the active occurrences, by occurrence number."""
 
     next_occurrence: int = 0
-    """First occurrence that has not begun yet."""
+    """Number of the first occurrence that has not started yet."""
 
     ended: float | None = None
-    """When the job became final, in seconds since the epoch."""
+    """When the job reached a final state, in seconds since the epoch."""
 
     open_runs: int = 0
     deadline: float = 0.0
-    """Clock of decisions by which the job should be completed."""
+    """Time by which the job should be completed to meet its objective."""
 
     critical_paths: tuple[float, ...] = ()
-    """Seconds of the longest chain of work that begins with each step, as expected at first."""
+    """Expected seconds of the longest chain of dependent steps that begins with each step, as
+    estimated on admission."""
 
     @property
-    def begun(self) -> bool:
-        """Tell whether any task of the job has been started."""
+    def has_started(self) -> bool:
+        """Return whether any task of the job has been started."""
         return self.state is not JobState.QUEUED
 
     def open(self, occurrence: int) -> list[StepProgress]:
-        """Return the steps of an occurrence, made on first use."""
+        """Return the steps of an occurrence, creating them on first use."""
         steps = self.occurrences.get(occurrence)
         if steps is None:
             steps = [
@@ -355,7 +362,7 @@
         return steps
 
     def find(self, task_id: TaskId) -> Task | None:
-        """Return a task of an occurrence that is under way."""
+        """Return a task of an active occurrence; None if there is none with this id."""
         steps = self.occurrences.get(task_id.occurrence)
         if steps is None or not 0 <= task_id.step < len(steps):
             return None
--- a/vanillawell/state/work_policy.py
+++ b/vanillawell/state/work_policy.py
@@ -1,4 +1,4 @@
-"""Hold one version of what operators configured for jobs: queues, services, organisations."""
+"""Configuration of jobs in one version: queues, services and organisations."""
 
 from __future__ import annotations
 
@@ -14,40 +14,40 @@
 
 @dataclass(frozen=True, slots=True)
 class AdviceRule:
-    """Tell that only executors which an outside service names may run a queue's steps."""
+    """Rule that only executors named by an external advice service may run a queue's steps."""
 
     decide: float
-    """Seconds that one call takes."""
+    """Seconds that one call to the service takes."""
 
     each: float
-    """Seconds more for each executor asked about."""
+    """Additional seconds for each executor in the call."""
 
     validity: float
-    """Seconds for which its answer holds."""
+    """Seconds for which an answer is valid."""
 
 
 @dataclass(frozen=True, slots=True)
 class Queue:
-    """Where jobs of one kind are handed in, and how they are treated."""
+    """Queue for jobs of one kind: the address for submissions and the rules for its jobs."""
 
     name: str
     host: str
     prefix: str
     service: str
     priority: int
-    """0 comes first."""
+    """Priority; 0 is served first."""
 
     attempts: int
-    """Failed runs of a task after which its job has failed."""
+    """Failed runs of a task after which its job fails."""
 
     slack_factor: float
     """Multiple of a job's critical path that its objective allows."""
 
     objective: float
-    """Seconds that the objective allows on top."""
+    """Seconds that the objective allows in addition."""
 
     anonymous: bool
-    """Whether callers need no key."""
+    """Whether jobs can be submitted without a key."""
 
     advice: AdviceRule | None = None
 
@@ -58,7 +58,7 @@
 
     name: str
     guards_capacity: bool
-    """Whether its executors refuse what does not fit."""
+    """Whether its executors refuse tasks that exceed their capacity."""
 
     standby: bool
     """Whether its executors are switched off until they are moved to another pool."""
@@ -66,18 +66,18 @@
 
 @dataclass(frozen=True, slots=True)
 class OrganisationLimits:
-    """What one organisation may use."""
+    """Share and maximum of one organisation."""
 
     name: str
     share: float
-    """Weight of its share when all is full."""
+    """Weight of its share when capacity is scarce."""
 
     maximum: Resources
-    """What it may have running at once in all pools; 0 for no limit of that kind."""
+    """Maximum resources of its running tasks in all pools; 0 for no limit of that dimension."""
 
-    def allows(self, running: Resources, more: Resources) -> bool:
-        """Tell whether `more` keeps the organisation within its maximum."""
-        total = running + more
+    def allows(self, running: Resources, additional: Resources) -> bool:
+        """Return whether `additional` keeps the organisation within its maximum."""
+        total = running + additional
         limits = self.maximum
         return (
             (not limits.cpu or total.cpu <= limits.cpu)
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True)
 class WorkPolicy:
-    """One version of the configuration that is in force for jobs."""
+    """One version of the configuration of jobs."""
 
     version: int
     queues: Mapping[str, Queue]
@@ -98,15 +98,15 @@
     """Organisation by digest of its key."""
 
     body_bound: int = 262_144
-    """Bytes of a request body; the value is the published default."""
+    """Maximum size of a request body in bytes; the value is the published default."""
 
     @cached_property
     def _by_host(self) -> dict[str, list[Queue]]:
-        found: dict[str, list[Queue]] = {}
+        by_host: dict[str, list[Queue]] = {}
         for queue in sorted(self.queues.values(), key=lambda item: -len(item.prefix)):
-            found.setdefault(queue.host, []).append(queue)
-        return found
+            by_host.setdefault(queue.host, []).append(queue)
+        return by_host
 
     def match(self, host: str, path: str) -> Queue | None:
-        """Return the queue with the longest prefix of `path` at `host`."""
+        """Return the queue at `host` with the longest prefix that `path` starts with, if any."""
         return next((q for q in self._by_host.get(host, ()) if path.startswith(q.prefix)), None)
--- a/vanillawell/tests/arrivals_tests.py
+++ b/vanillawell/tests/arrivals_tests.py
@@ -17,7 +17,7 @@
     meter, durations = ArrivalMeter(), DurationStatistics()
     item = job(step(6, cpu=1_800, seconds=0.8), step(4, cpu=1_800, seconds=0.8, after=(0,)))
     for number in range(5):
-        meter.note("a", item, durations, number / 14)
+        meter.record("a", item, durations, number / 14)
     assert meter.required_cores("a", 0.36) > 50
     assert meter.required_cores("a", 2.0) == 0
 
@@ -49,7 +49,7 @@
     """One job of forty times the usual work comes among usual ones, as happens by chance."""
     usual, durations = ArrivalMeter(), DurationStatistics()
     for number in range(60):
-        usual.note("a", job(step(4, seconds=1.0)), durations, number * 0.1)
+        usual.record("a", job(step(4, seconds=1.0)), durations, number * 0.1)
     before = usual.required_cores("a", 5.9)
-    usual.note("a", job(step(4, seconds=40.0)), durations, 5.95)
+    usual.record("a", job(step(4, seconds=40.0)), durations, 5.95)
     assert usual.required_cores("a", 6.0) < 3 * before
--- a/vanillawell/tests/busy_owner_tests.py
+++ b/vanillawell/tests/busy_owner_tests.py
@@ -74,7 +74,7 @@
         stays = before is not None and task.step.spec.reserved.fits(before.free)
         assert chosen is (before if stays else found)
         harness.shard.plan(task, chosen, 1, "", harness.now)
-        placer.placed(chosen)
+        placer.record_placement(chosen)
         before = chosen
 
 
@@ -95,7 +95,7 @@
         chosen = placer.choose(task)
         assert chosen is not None
         harness.shard.plan(task, chosen, 1, "", harness.now)
-        placer.placed(chosen)
+        placer.record_placement(chosen)
     assert compared < 12 * FLEET
 
 
--- a/vanillawell/tests/copies_tests.py
+++ b/vanillawell/tests/copies_tests.py
@@ -10,7 +10,7 @@
 
 from vanillawell.protocol.executor_calls import EndRow, HoldReport, RunningRow
 from vanillawell.protocol.work_documents import read_record, write_record
-from vanillawell.state.copies import COPIED_AFTER
+from vanillawell.state.copies import COPY_DELAY
 from vanillawell.state.executors import Executor
 from vanillawell.state.work import Ending, JobState, Run, StepProgress
 from vanillawell.tests.scheduling_builders import ShardHarness, facts, job, step
@@ -54,8 +54,8 @@
 
 def test_a_task_that_may_run_twice_begins_elsewhere() -> None:
     cut = Cut(speculative=True)
-    assert cut.pass_time(COPIED_AFTER / 2) == []
-    (copy,) = cut.pass_time(COPIED_AFTER)
+    assert cut.pass_time(COPY_DELAY / 2) == []
+    (copy,) = cut.pass_time(COPY_DELAY)
     assert (copy.executor, copy.number) == ("i-1", cut.first.number + 1)
     assert cut.pass_time(10.0) == [], "one copy is enough"
 
--- a/vanillawell/tests/lease_keeper_tests.py
+++ b/vanillawell/tests/lease_keeper_tests.py
@@ -238,7 +238,7 @@
     assert first.save([executor], harness.now)
     second = Owner(first.stored)
     bound = second.keeper.recalled_bound("i-1", 500.0)
-    assert (bound.machine, bound.life) == ("m-i-1", executor.facts.incarnation)
+    assert (bound.machine, bound.incarnation) == ("m-i-1", executor.facts.incarnation)
     assert second.keeper.recalled_bound("i-2", 500.0).machine == ""
 
 
