--- a/vanillawell/tests/arrivals_tests.py
+++ b/vanillawell/tests/arrivals_tests.py
@@ -1,7 +1,7 @@
-"""Test what arrivals say of the next seconds.
+"""Test the forecast of arriving work.
 
-The pattern: each queue in its turn grows within four or five seconds to about five times its mean
-and falls again; single jobs are of very uneven size.
+Scenario: the arrivals of each queue in turn grow to about five times their mean within four or five
+seconds and fall again; the sizes of single jobs vary widely.
 """
 
 from __future__ import annotations
@@ -11,9 +11,12 @@
 from vanillawell.tests.scheduling_builders import POOL, ShardHarness, facts, job, step
 
 
-def test_a_peak_is_seen_before_its_tasks_have_piled_up() -> None:
-    """Fourteen jobs a second begin to come where one came before. After a third of a second only a
-    few tasks run, and the moves that the peak needs are under way already."""
+def test_peak_is_detected_before_its_tasks_accumulate() -> None:
+    """Arrivals rise from one job per second to fourteen.
+
+    After a third of a second only a few tasks run, but the machines for the peak must already be
+    requested.
+    """
     meter, durations = ArrivalMeter(), DurationStatistics()
     item = job(step(6, cpu=1_800, seconds=0.8), step(4, cpu=1_800, seconds=0.8, after=(0,)))
     for number in range(5):
@@ -22,22 +25,26 @@
     assert meter.required_cores("a", 2.0) == 0
 
 
-def test_a_peak_at_its_height_brings_little_more_than_it_asks_for() -> None:
-    """Forty jobs come in each window, as many as in the one before. Room for seventy would bring
-    machines that nobody uses, and that the pool whose turn is next would miss."""
+def test_peak_at_its_height_requests_little_additional_capacity() -> None:
+    """Forty jobs arrive in each window, as many as in the one before.
+
+    Capacity for seventy would bring unused machines that the pool with the next peak needs.
+    """
     assert expected_growth(40, 40) < 1.4
     assert expected_growth(400, 400) < 1.2
 
 
-def test_a_peak_that_begins_has_room_for_its_growth() -> None:
-    """Jobs have tripled from one window to the next, and a machine takes two more to come."""
+def test_beginning_peak_gets_capacity_for_its_growth() -> None:
+    """Arrivals have tripled between two windows, and a machine needs two more to be ready."""
     assert expected_growth(12, 4) > 2
 
 
-def test_what_a_new_owner_finds_waiting_is_taken_for_no_peak() -> None:
-    """Forty jobs have waited for an owner for seconds, and are all taken in at once. Taken for what
-    arrives within that moment, they called all idle machines, and the pool whose turn was next had
-    none; what they need is counted as waiting work."""
+def test_backlog_of_a_new_owner_does_not_count_as_a_peak() -> None:
+    """Forty jobs have waited for an owner for seconds, and are all admitted at once.
+
+    Counted as arrivals of that moment, they requested all idle machines, and the pool with the next
+    peak got none. Their need is counted as waiting work instead.
+    """
     harness = ShardHarness(facts("i-0"))
     for _ in range(40):
         harness.shard.admit(job(step(4)), harness.now, is_backlog=True)
@@ -45,11 +52,11 @@
     assert len(harness.shard.job_table.open_steps) == 40
 
 
-def test_one_large_job_is_taken_for_no_peak() -> None:
-    """One job of forty times the usual work comes among usual ones, as happens by chance."""
-    usual, durations = ArrivalMeter(), DurationStatistics()
+def test_single_large_job_does_not_count_as_a_peak() -> None:
+    """One job with forty times the usual work arrives among usual ones, as happens by chance."""
+    meter, durations = ArrivalMeter(), DurationStatistics()
     for number in range(60):
-        usual.record("a", job(step(4, seconds=1.0)), durations, number * 0.1)
-    before = usual.required_cores("a", 5.9)
-    usual.record("a", job(step(4, seconds=40.0)), durations, 5.95)
-    assert usual.required_cores("a", 6.0) < 3 * before
+        meter.record("a", job(step(4, seconds=1.0)), durations, number * 0.1)
+    before = meter.required_cores("a", 5.9)
+    meter.record("a", job(step(4, seconds=40.0)), durations, 5.95)
+    assert meter.required_cores("a", 6.0) < 3 * before
--- a/vanillawell/tests/copies_tests.py
+++ b/vanillawell/tests/copies_tests.py
@@ -1,7 +1,7 @@
-"""Test that tasks which may run twice don't wait for executors that nobody can reach.
+"""Test that speculative tasks are started again while their executors are unreachable.
 
-The pattern: in the middle of a peak the path to a zone is cut for five seconds. What runs there is
-given up once its lease is surely over, as late as the path is back.
+Scenario: the connection to a zone is lost for five seconds during a peak. The runs there are closed
+only when their lease has expired, which takes as long as the outage.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 from vanillawell.tests.scheduling_builders import ShardHarness, facts, job, step
 
 
-class Cut:
-    """A job of one task on an executor that falls silent, beside one that answers."""
+class Outage:
+    """A job of one task on an unresponsive executor, and another executor that answers."""
 
     def __init__(self, **fields: bool) -> None:
         self.harness = ShardHarness(facts("i-0"))
@@ -25,12 +25,12 @@
         self.harness.admit(self.job)
         (self.first,) = self.harness.place()
         self.harness.register(facts("i-1"))
-        self.silent.mark_unresponsive()
-        self.silent.unresponsive_since = self.harness.now
-        self.silent.lease_expires_at = self.harness.now + 60
+        self.unresponsive.mark_unresponsive()
+        self.unresponsive.unresponsive_since = self.harness.now
+        self.unresponsive.lease_expires_at = self.harness.now + 60
 
     @property
-    def silent(self) -> Executor:
+    def unresponsive(self) -> Executor:
         return self.harness.shard.ledger.executors["i-0"]
 
     @property
@@ -42,84 +42,87 @@
         return self.harness.place()
 
     def report(self, *rows: RunningRow, ends: tuple[EndRow, ...] = ()) -> None:
-        """Let the silent executor answer again."""
+        """Let the unresponsive executor answer again."""
         now = self.harness.now
-        self.silent.unresponsive_since = None
+        self.unresponsive.unresponsive_since = None
         report = HoldReport(0.0, 1, list(rows), list(ends))
-        self.harness.shard.take_report(self.silent, report, now, now, now)
+        self.harness.shard.take_report(self.unresponsive, report, now, now, now)
 
     def row(self, run: Run) -> RunningRow:
         return RunningRow(run.task.task_id, run.number, "", 50, 0.0)
 
 
-def test_a_task_that_may_run_twice_begins_elsewhere() -> None:
-    cut = Cut(speculative=True)
-    assert cut.pass_time(COPY_DELAY / 2) == []
-    (copy,) = cut.pass_time(COPY_DELAY)
-    assert (copy.executor, copy.number) == ("i-1", cut.first.number + 1)
-    assert cut.pass_time(10.0) == [], "one copy is enough"
+def test_speculative_task_is_started_on_another_executor() -> None:
+    outage = Outage(speculative=True)
+    assert outage.pass_time(COPY_DELAY / 2) == []
+    (copy,) = outage.pass_time(COPY_DELAY)
+    assert (copy.executor, copy.number) == ("i-1", outage.first.number + 1)
+    assert outage.pass_time(10.0) == [], "one copy is enough"
 
 
 @pytest.mark.parametrize("fields", [{}, {"speculative": True, "gang": True}])
-def test_other_tasks_wait_until_their_run_is_over_for_certain(fields: dict[str, bool]) -> None:
-    """A stamp that is set twice counts as fraud."""
-    assert Cut(**fields).pass_time(10.0) == []
+def test_other_tasks_are_not_copied(fields: dict[str, bool]) -> None:
+    """Tasks that must not run twice wait until their run is confirmed to have ended.
 
+    Running them twice can do harm: a stamp that is set twice, for example, counts as fraud.
+    """
+    assert Outage(**fields).pass_time(10.0) == []
 
-def test_the_first_copy_that_is_done_counts_and_the_other_is_stopped() -> None:
-    cut = Cut(speculative=True)
-    (copy,) = cut.pass_time(1.0)
-    cut.report(cut.row(cut.first))
-    cut.harness.end(copy)
-    record = cut.step.record
+
+def test_first_completed_run_counts_and_the_other_is_stopped() -> None:
+    outage = Outage(speculative=True)
+    (copy,) = outage.pass_time(1.0)
+    outage.report(outage.row(outage.first))
+    outage.harness.end(copy)
+    record = outage.step.record
     assert record.state is JobState.COMPLETED
-    assert cut.harness.shard.outbox.stops == [cut.first]
-
-
-def test_a_run_that_was_done_behind_the_cut_counts() -> None:
-    cut = Cut(speculative=True)
-    (copy,) = cut.pass_time(1.0)
-    end = EndRow(1, cut.first.task.task_id, cut.first.number, Ending.DONE, "")
-    cut.report(ends=(end,))
-    assert cut.step.record.state is JobState.COMPLETED
-    assert cut.harness.shard.outbox.stops == [copy]
-
-
-def test_a_run_that_is_back_before_its_copy_has_begun_goes_on_alone() -> None:
-    """No other executor has room, so nothing was started when the path is back."""
-    cut = Cut(speculative=True)
-    cut.harness.shard.ledger.unregister("i-1")
-    assert cut.pass_time(1.0) == []
-    cut.report(cut.row(cut.first))
-    cut.harness.register(facts("i-2"))
-    assert cut.pass_time(1.0) == []
-    assert cut.first.task.run is cut.first
-
-
-def test_both_runs_stay_charged_until_they_are_over() -> None:
-    """Freed too early, the room and the organisation's maximum would be given away twice."""
-    cut = Cut(speculative=True)
-    ledger = cut.harness.shard.ledger
-    cut.pass_time(1.0)
-    assert ledger.usage("north").cpu == 2 * cut.step.spec.need.cpu
-    ledger.executors["i-1"].lease_expires_at = cut.harness.now + 60
-    cut.silent.lease_expires_at = cut.harness.now
-    cut.harness.shard.expire(cut.harness.now, cut.harness.now)
-    assert ledger.usage("north").cpu == cut.step.spec.need.cpu
-
-
-def test_a_cancelled_job_has_both_its_runs_stopped() -> None:
-    cut = Cut(speculative=True)
-    (copy,) = cut.pass_time(1.0)
-    cut.harness.shard.cancel(cut.job.job_id, cut.harness.now)
-    assert set(cut.harness.shard.outbox.stops) == {cut.first, copy}
-
-
-def test_the_next_owner_knows_of_both_runs() -> None:
-    """Charged to one executor only, the other would be given work beyond its capacity."""
-    cut = Cut(speculative=True)
-    (copy,) = cut.pass_time(1.0)
-    record, runs = read_record(cut.job, write_record(cut.step.record), 0.0, 0.0)
+    assert outage.harness.shard.outbox.stops == [outage.first]
+
+
+def test_run_that_completed_during_the_outage_counts() -> None:
+    outage = Outage(speculative=True)
+    (copy,) = outage.pass_time(1.0)
+    end = EndRow(1, outage.first.task.task_id, outage.first.number, Ending.DONE, "")
+    outage.report(ends=(end,))
+    assert outage.step.record.state is JobState.COMPLETED
+    assert outage.harness.shard.outbox.stops == [copy]
+
+
+def test_run_continues_without_copy_if_its_executor_answers_before_one_starts() -> None:
+    """No other executor has free capacity before the connection is restored."""
+    outage = Outage(speculative=True)
+    outage.harness.shard.ledger.unregister("i-1")
+    assert outage.pass_time(1.0) == []
+    outage.report(outage.row(outage.first))
+    outage.harness.register(facts("i-2"))
+    assert outage.pass_time(1.0) == []
+    assert outage.first.task.run is outage.first
+
+
+def test_both_runs_stay_charged_until_they_end() -> None:
+    """Freed too early, capacity and the organisation's maximum would be used twice."""
+    outage = Outage(speculative=True)
+    ledger = outage.harness.shard.ledger
+    outage.pass_time(1.0)
+    assert ledger.usage("north").cpu == 2 * outage.step.spec.need.cpu
+    ledger.executors["i-1"].lease_expires_at = outage.harness.now + 60
+    outage.unresponsive.lease_expires_at = outage.harness.now
+    outage.harness.shard.expire(outage.harness.now, outage.harness.now)
+    assert ledger.usage("north").cpu == outage.step.spec.need.cpu
+
+
+def test_cancelling_a_job_stops_both_runs() -> None:
+    outage = Outage(speculative=True)
+    (copy,) = outage.pass_time(1.0)
+    outage.harness.shard.cancel(outage.job.job_id, outage.harness.now)
+    assert set(outage.harness.shard.outbox.stops) == {outage.first, copy}
+
+
+def test_new_owner_restores_both_runs() -> None:
+    """If only one run was restored, the other's executor would get work beyond its capacity."""
+    outage = Outage(speculative=True)
+    (copy,) = outage.pass_time(1.0)
+    record, runs = read_record(outage.job, write_record(outage.step.record), 0.0, 0.0)
     found = {(run.executor, run.number): run.superseded for run in runs}
-    assert found == {("i-0", cut.first.number): True, ("i-1", copy.number): False}
-    assert record.job is cut.job
+    assert found == {("i-0", outage.first.number): True, ("i-1", copy.number): False}
+    assert record.job is outage.job
--- a/vanillawell/tests/former_orders_tests.py
+++ b/vanillawell/tests/former_orders_tests.py
@@ -1,4 +1,4 @@
-"""Prove on plain data which executors are kept from work by a former owner's orders."""
+"""Test which executors get no new tasks because of a previous owner's orders."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 
 
 def ledger_of(harness: ShardHarness) -> Ledger:
-    """Return what a bench has charged to executors."""
+    """Return the ledger of a harness."""
     return harness.shard.ledger
 
 
-def test_nothing_is_placed_on_a_machine_that_may_be_taken_away() -> None:
-    """Its executor is sound and idle; what starts there ends with the order."""
+def test_no_task_is_placed_on_a_withheld_machine() -> None:
+    """Its executor is healthy and idle, but tasks started there would end with the order."""
     harness = ShardHarness(facts("i-1", machine="m1"), facts("i-2", machine="m2"))
     ledger_of(harness).withhold({"m1": "standby"})
     harness.admit(job(step(2, long_running=True, most_per_executor=1)))
     assert [run.executor for run in harness.place()] == ["i-2"]
 
 
-def test_an_executor_that_registers_later_on_such_a_machine_is_kept_from_work() -> None:
-    """A new owner reads the orders before the registry, or an entry comes back late."""
+def test_executor_that_registers_later_on_a_withheld_machine_gets_no_tasks() -> None:
+    """A new owner reads the orders before the registry, or an executor registers again late."""
     harness = ShardHarness(facts("i-1", machine="m1"))
     ledger_of(harness).withhold({"m2": ""})
     late = harness.register(facts("i-2", machine="m2"))
@@ -28,17 +28,19 @@
     assert not late.accepts_tasks(harness.now)
 
 
-def test_an_executor_that_came_by_the_order_is_not_kept_from_work() -> None:
-    """It lives in the pool that its machine was sent to."""
+def test_executor_in_the_target_pool_of_the_order_accepts_tasks() -> None:
+    """It was started by the order itself, in the pool that its machine was moved to."""
     harness = ShardHarness()
-    came = facts("i-1", machine="m1")
-    ledger_of(harness).withhold({"m1": came.service})
-    assert harness.register(came).accepts_tasks(harness.now)
+    moved = facts("i-1", machine="m1")
+    ledger_of(harness).withhold({"m1": moved.service})
+    assert harness.register(moved).accepts_tasks(harness.now)
 
 
-def test_only_an_answer_to_a_later_call_shows_that_an_executor_lives_on() -> None:
-    """The order was carried out, and the entry of the executor that it ended stands for seconds. An
-    answer that was on its way before tells nothing."""
+def test_withheld_executor_accepts_tasks_only_after_answering_a_later_call() -> None:
+    """The registration of an executor that was terminated by the order remains for seconds.
+
+    An answer to a call that was sent before the order became void does not prove that it runs.
+    """
     harness = ShardHarness(facts("i-1", machine="m1"))
     (executor,) = ledger_of(harness).executors.values()
     ledger_of(harness).withhold({"m1": "standby"})
@@ -51,9 +53,11 @@
     assert executor.order_void_since is None
 
 
-def test_an_executor_that_comes_back_elsewhere_under_its_id_takes_work() -> None:
-    """It starts again on another machine while its former one is withheld. Nobody would let it go
-    with that one."""
+def test_executor_restarted_on_another_machine_accepts_tasks() -> None:
+    """It restarts under its id on another machine while its previous machine is withheld.
+
+    Releasing the previous machine would not release the executor any more.
+    """
     harness = ShardHarness(facts("i-1", machine="m1"))
     ledger_of(harness).withhold({"m1": "standby"})
     executor = harness.register(facts("i-1", machine="m2", incarnation=2))
--- a/vanillawell/tests/gang_failures_tests.py
+++ b/vanillawell/tests/gang_failures_tests.py
@@ -1,4 +1,4 @@
-"""Test on plain data what failed runs prove, and what they do not."""
+"""Test what failed runs imply for executors, pools and gangs."""
 
 from __future__ import annotations
 
@@ -6,34 +6,39 @@
 from vanillawell.tests.scheduling_builders import ShardHarness, facts, job, step
 
 EXECUTORS = 4
-HOPELESS = 8
-"""Jobs handed in at once all of whose tasks fail wherever they run."""
+FAILING_JOBS = 8
+"""Number of jobs, submitted at once, whose tasks fail on every executor."""
 
-PATIENCE = 3.0
-"""Seconds without any start, where there is room, after which a job counts as lost."""
+START_TIMEOUT = 3.0
+"""Seconds within which a job must start while there is free capacity."""
 
 
-def test_jobs_that_fail_everywhere_do_not_close_a_pool() -> None:
-    """Many jobs come that can never be done. Their failures are their own: with each executor shut
-    out for them, all other jobs of the pool would wait in front of idle, sound machines."""
+def test_jobs_that_fail_everywhere_do_not_quarantine_a_whole_pool() -> None:
+    """Many jobs are submitted whose tasks always fail.
+
+    If every executor was quarantined for these failures, all other jobs of the pool would wait
+    although its machines are idle and healthy.
+    """
     harness = ShardHarness(*(facts(f"i-{number}") for number in range(EXECUTORS)))
-    harness.admit(*(job(step(4)) for _ in range(HOPELESS)))
+    harness.admit(*(job(step(4)) for _ in range(FAILING_JOBS)))
     for _ in range(3):
         for run in harness.place():
             if run.task.run is run:
                 harness.end(run, Ending.FAILED)
         harness.now += 0.5
-    sound = job()
-    harness.admit(sound)
-    began = harness.now
-    while not any(run.task.task_id.job_id == sound.job_id for run in harness.place()):
+    valid = job()
+    harness.admit(valid)
+    started = harness.now
+    while not any(run.task.task_id.job_id == valid.job_id for run in harness.place()):
         harness.now += 0.1
-        assert harness.now < began + PATIENCE
+        assert harness.now < started + START_TIMEOUT
+
 
+def test_gang_whose_members_fail_together_has_failed_once() -> None:
+    """An unhealthy executor reports all members of one gang run as failed.
 
-def test_a_gang_whose_members_fail_together_has_failed_once() -> None:
-    """All members of one run are listed as failed by an executor that fails all it runs. Counted
-    one by one, they would use up all attempts of a gang that may still be done."""
+    Counted one by one, these failures would use up all attempts of the gang.
+    """
     harness = ShardHarness(facts("i-0"))
     gang = job(step(3, gang=True))
     harness.admit(gang)
--- a/vanillawell/tests/ledger_tests.py
+++ b/vanillawell/tests/ledger_tests.py
@@ -1,4 +1,4 @@
-"""Test that runs stay charged until it is proved that they are over."""
+"""Test that runs stay charged until they are confirmed to have ended."""
 
 from __future__ import annotations
 
@@ -7,10 +7,12 @@
 from vanillawell.tests.scheduling_builders import ShardHarness, facts, job, step
 
 
-def test_a_late_report_for_a_forgotten_executor_leaves_its_return_alone() -> None:
-    """An executor leaves the registry while it has nothing to do, and comes back while a report
-    that was asked for before is still on its way. That report must not make its runs forgotten:
-    the executor would be given twice what it has room for."""
+def test_late_report_for_removed_executor_does_not_affect_its_new_registration() -> None:
+    """An idle executor unregisters, and registers again while an earlier report is in flight.
+
+    If that report dropped the new runs, the executor would be charged too little and get twice the
+    work that it has capacity for.
+    """
     harness = ShardHarness(facts("i-0"))
     shard = harness.shard
     before = shard.ledger.executors["i-0"]
@@ -24,9 +26,12 @@
     assert after.free == Resources(0, 64_000 - 80)
 
 
-def test_a_new_executor_on_a_machine_ends_what_its_former_one_ran() -> None:
-    """The upkeep of a machine ends its executor without a word. Once another one is registered
-    there, what the former one ran is known to be over and starts again."""
+def test_new_executor_on_a_machine_ends_the_runs_of_the_previous_one() -> None:
+    """Maintenance of a machine terminates its executor without a report.
+
+    Once another executor registers on the machine, the runs of the previous one have ended, and
+    their tasks start again.
+    """
     harness = ShardHarness(facts("i-0"))
     harness.admit(job(step(2)))
     assert len(harness.place()) == 2
@@ -34,10 +39,11 @@
     assert [run.executor for run in harness.place()] == ["i-1", "i-1"]
 
 
-def test_the_entry_of_a_life_that_is_over_brings_nothing_back() -> None:
-    """The machine of an executor was moved, and the registry is read again before the entry is
-    removed. Nothing must be placed there; a new life under the same id is used as soon as it
-    registers."""
+def test_registration_of_terminated_incarnation_is_ignored() -> None:
+    """An executor's machine was moved, and its old registration is read before it is removed.
+
+    No task may be placed there. A new incarnation under the same id is used once it registers.
+    """
     harness = ShardHarness(facts("i-0"))
     harness.shard.mark_terminated("i-0", 1, harness.now, harness.now)
     harness.shard.register(facts("i-0"), harness.now, harness.now)
@@ -47,13 +53,13 @@
     assert [run.executor for run in harness.place()] == ["i-0"]
 
 
-def test_the_lease_of_a_silent_executor_ends_its_runs_only_when_it_is_surely_over() -> None:
+def test_runs_of_unresponsive_executor_end_only_when_its_lease_has_expired() -> None:
     harness = ShardHarness(facts("i-0"), facts("i-1"))
     harness.admit(job(step(1)))
     (run,) = harness.place()
-    silent = harness.shard.ledger.executors[run.executor]
-    silent.lease_expires_at = harness.now + 5.0
-    silent.registered = False
+    unresponsive = harness.shard.ledger.executors[run.executor]
+    unresponsive.lease_expires_at = harness.now + 5.0
+    unresponsive.registered = False
     harness.shard.expire(harness.now + 4.9, 0.0)
     assert harness.place() == []
     harness.shard.expire(harness.now + 5.1, 0.0)
@@ -61,7 +67,7 @@
     assert (again.number, again.executor != run.executor) == (2, True)
 
 
-def test_an_order_without_an_answer_stays_charged_until_a_stop_rules_it_out() -> None:
+def test_unanswered_order_stays_charged_until_a_stop_is_confirmed() -> None:
     harness = ShardHarness(facts("i-0"))
     harness.admit(job(step(1)))
     (run,) = harness.place()
@@ -78,7 +84,7 @@
     assert run.task.run is None
 
 
-def test_an_end_that_is_listed_again_counts_once() -> None:
+def test_repeated_end_counts_once() -> None:
     harness = ShardHarness(facts("i-0"))
     harness.admit(job(step(1)))
     (run,) = harness.place()
--- a/vanillawell/tests/peak_tests.py
+++ b/vanillawell/tests/peak_tests.py
@@ -1,7 +1,8 @@
-"""Test decisions under peaks: each queue in turn asks for more than its pool holds, for seconds.
+"""Test placement during peaks, when a queue needs more capacity than its pool has for seconds.
 
-The pattern: four to five times the mean for some seconds, then a twentieth of it. Jobs have an
-objective of 1.6 times their chain of work and 0.6 s more; what is done later is worth a fourteenth.
+Scenario: arrivals rise to four to five times their mean for some seconds, then fall to a twentieth
+of it. The objective of a job is 1.6 times its critical path plus 0.6 s; a job that is completed
+later has a fourteenth of its value.
 """
 
 from __future__ import annotations
@@ -18,10 +19,10 @@
     from vanillawell.state.work import Run
 
 TICK = 0.05
-"""Seconds between two decisions."""
+"""Seconds between two scheduling cycles."""
 
 
-def test_a_job_that_can_be_in_time_goes_before_one_that_cannot() -> None:
+def test_job_that_can_be_in_time_is_served_before_one_that_cannot() -> None:
     harness = ShardHarness(facts("i-0", cpu=1_000))
     late, timely = job(step()), job(step())
     harness.admit(late)
@@ -30,20 +31,20 @@
     assert job_ids(harness.place()) == [timely.job_id]
 
 
-def test_a_job_that_has_begun_goes_before_one_that_has_not() -> None:
-    """What was spent on the first step of a job is lost if its second one waits too long."""
+def test_started_job_is_served_before_one_that_has_not_started() -> None:
+    """The work done in the first step of a job is lost if its second step waits too long."""
     harness = ShardHarness(facts("i-0", cpu=1_000))
-    begun, fresh = job(step(), step(after=(0,))), job(step())
-    harness.admit(begun)
+    started, new = job(step(), step(after=(0,))), job(step())
+    harness.admit(started)
     (run,) = harness.place()
     harness.now += 0.2
-    harness.admit(fresh)
+    harness.admit(new)
     harness.now += 0.8
     harness.end(run)
-    assert job_ids(harness.place()) == [begun.job_id]
+    assert job_ids(harness.place()) == [started.job_id]
 
 
-def test_a_job_is_not_started_at_the_last_moment_while_another_has_time() -> None:
+def test_job_without_margin_is_not_started_before_one_that_can_be_in_time() -> None:
     harness = ShardHarness(facts("i-0", cpu=1_000))
     last_moment, timely = job(step()), job(step())
     harness.admit(last_moment)
@@ -52,10 +53,12 @@
     assert job_ids(harness.place()) == [timely.job_id]
 
 
-def test_a_peak_leaves_most_jobs_in_time() -> None:
-    """Twice what a pool holds comes for five seconds. Served by deadline alone, a queue of more
-    than an objective builds up and nearly every job is late; with late ones set back, the pool
-    goes on completing about as many in time as it has room for."""
+def test_jobs_within_capacity_are_in_time_during_a_peak() -> None:
+    """Twice the work that a pool can process arrives for five seconds.
+
+    Served by deadline alone, the queue grows longer than an objective and nearly every job is late.
+    With late jobs set back, about as many jobs are in time as the pool has capacity for.
+    """
     harness = ShardHarness(*(facts(f"i-{number}") for number in range(4)))
     rng = random.Random(7)
     running: list[tuple[float, object]] = []
@@ -76,14 +79,16 @@
         record.state is JobState.COMPLETED and (record.ended or 0.0) <= record.deadline + TICK
         for _, record in records
     )
-    room = 4 * 8 * (5.0 + 1.2)
-    assert in_time >= 0.8 * min(len(records), room)
+    capacity = 4 * 8 * (5.0 + 1.2)
+    assert in_time >= 0.8 * min(len(records), capacity)
+
 
+def test_whole_machines_become_empty_at_the_end_of_a_peak() -> None:
+    """A peak on eight machines ends: arrivals fall to a twentieth while another pool's peak begins.
 
-def test_the_end_of_a_peak_empties_whole_machines() -> None:
-    """A peak has filled eight machines and falls to a twentieth while the next pool's peak begins.
-    If what still arrives goes where most is free, all eight keep a task or two for seconds, none
-    can change its pool, and the next pool's callers wait."""
+    If new tasks went to the machines with the most free capacity, all eight would keep a task or
+    two for seconds, and none could move to the other pool.
+    """
     harness = ShardHarness(*(facts(f"i-{number}") for number in range(8)))
     rng = random.Random(11)
     running: list[tuple[float, Run]] = []
@@ -100,24 +105,29 @@
     assert sum(not executor.runs for executor in executors) >= 5
 
 
-def test_tasks_that_last_come_first_and_keep_room_for_themselves() -> None:
-    """A pool is full of short tasks when a lasting task has to start again. The next room that is
-    large enough must be its own, or short tasks would take every gap."""
+def test_long_running_task_comes_first_and_reserves_capacity() -> None:
+    """A long-running task has to start again in a pool that is full of short tasks.
+
+    An executor must be reserved for it, or short tasks would take all capacity that becomes free.
+    """
     harness = ShardHarness(facts("i-0", cpu=2_000))
     shorts = [job(step(cpu=1_000)) for _ in range(6)]
     harness.admit(*shorts[:2])
     first = harness.place()
-    lasting = job(step(cpu=2_000, long_running=True))
-    harness.admit(lasting, *shorts[2:])
+    long_running = job(step(cpu=2_000, long_running=True))
+    harness.admit(long_running, *shorts[2:])
     harness.end(first[0])
     assert harness.place() == []
     harness.end(first[1])
-    assert job_ids(harness.place()) == [lasting.job_id]
+    assert job_ids(harness.place()) == [long_running.job_id]
+
 
+def test_waiting_time_of_a_job_survives_a_change_of_owner() -> None:
+    """A job has waited for two seconds when the owner is lost.
 
-def test_a_change_of_owner_does_not_make_an_old_job_look_new() -> None:
-    """A job has waited for two seconds when its owner is lost. Its new owner must know that it can
-    no longer be in time, or it would take room from one that can."""
+    The new owner must know that the job can no longer be in time, or it would take the capacity of
+    one that can.
+    """
     item = replace(job(step()), accepted_at=1_000.0)
     record, _ = read_record(item, write_record(JobRecord(item, 0.0)), 50.0, 1_002.0)
     assert record.seen_at == 48.0
--- a/vanillawell/tests/scheduling_builders.py
+++ b/vanillawell/tests/scheduling_builders.py
@@ -1,4 +1,4 @@
-"""Build shards on plain data for tests of decisions."""
+"""Builders of shards, jobs and executors for tests of scheduling decisions."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def policy(**changes: Any) -> WorkPolicy:
-    """Return a configuration with one queue on one pool."""
+    """Return a configuration with one queue and one pool."""
     queue = Queue(QUEUE, "h", "/q/", POOL, 0, 3, 1.6, 0.6, False)
     fields: dict[str, Any] = {
         "version": 1,
@@ -36,7 +36,7 @@
 
 
 def job(*steps: Step, **fields: Any) -> Job:
-    """Return a job with an id of its own."""
+    """Return a job with a unique id."""
     job_id = f"{next(_NUMBERS):016x}"
     return Job(**{**_job_fields(job_id, steps), **fields})
 
@@ -53,7 +53,7 @@
 
 
 def facts(name: str, cpu: int = 8_000, rack: str = "r1", **changes: Any) -> ExecutorFacts:
-    """Return what an executor says of itself."""
+    """Return an executor's registration."""
     fields: dict[str, Any] = {
         "executor": name,
         "incarnation": 1,
@@ -71,19 +71,19 @@
 
 @dataclass
 class FixedClocks:
-    """Steady clocks of executors that stand where the test puts them, by executors' lives."""
+    """Monotonic clocks of executors with fixed readings, by executor incarnation."""
 
-    shown: dict[str, float] = field(default_factory=dict)
+    readings: dict[str, float] = field(default_factory=dict)
 
     def at_least(self, now: float) -> dict[str, float]:
-        return self.shown
+        return self.readings
 
     def at_most(self, now: float) -> dict[str, float]:
-        return self.shown
+        return self.readings
 
 
 class ShardHarness:
-    """A shard with executors that do what they are told at once."""
+    """A shard with executors that execute all orders immediately."""
 
     def __init__(self, *executors: ExecutorFacts, **changes: Any) -> None:
         self.shard = Shard(120)
@@ -101,12 +101,12 @@
         return executor
 
     def admit(self, *jobs: Job) -> None:
-        """Hand in jobs."""
+        """Submit jobs."""
         for item in jobs:
             self.shard.admit(item, self.now)
 
     def place(self) -> list[Run]:
-        """Decide, and let all decided runs begin."""
+        """Run one scheduling cycle and start all planned runs."""
         self.shard.place(self.now, self.now)
         runs, self.shard.outbox.planned = self.shard.outbox.planned, []
         for run in runs:
@@ -124,5 +124,5 @@
 
 
 def job_ids(runs: list[Run]) -> list[str]:
-    """Return the jobs of runs, in their order."""
+    """Return the job ids of runs, in the order of the runs."""
     return [run.task.task_id.job_id for run in runs]
--- a/vanillawell/tests/shard_invariants_tests.py
+++ b/vanillawell/tests/shard_invariants_tests.py
@@ -1,7 +1,7 @@
-"""Drive a shard through random lives and check what must hold at every moment.
+"""Apply random events to a shard and check its invariants after each of them.
 
-Jobs come and are cancelled; runs end in every way; executors crash, restart under their id, fall
-silent until their lease is over, and come back; orders stay without an answer.
+Jobs are admitted and cancelled; runs end in every way; executors crash, restart under their id,
+become unresponsive until their lease expires, and return; orders stay unanswered.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 ATTEMPTS = 3
 
 LEASE = 5.0
-"""Seconds for which executors hold what they run without a renewal."""
+"""Seconds for which executors continue their runs without a renewal."""
 
 STEPS = st.lists(
     st.builds(
@@ -59,11 +59,11 @@
         names = ("i-0", "i-1", "i-2")
         self.harness = ShardHarness(*(facts(name, CPU) for name in names), organisations=limits)
         self.shard = self.harness.shard
-        self.lives = Counter(dict.fromkeys(names, 1))
+        self.incarnations = Counter(dict.fromkeys(names, 1))
         self.starts: list[Run] = []
         self.done: set[object] = set()
-        self.doubtful: set[Run] = set()
-        """Runs whose order may still be carried out, whatever is believed of them."""
+        self.unconfirmed: set[Run] = set()
+        """Runs whose order may still be executed, whatever the shard assumes."""
 
     def _runs(self, *phases: RunPhase) -> list[Run]:
         return [run for run in self.shard.ledger.runs() if run.phase in phases]
@@ -92,7 +92,7 @@
         assert not record.state.final
         assert task.task_id not in self.done
         if not _may_run_twice(run):
-            assert all(other.task is not task for other in self.doubtful)
+            assert all(other.task is not task for other in self.unconfirmed)
         steps = record.occurrences[step.occurrence]
         assert all(not steps[number].left for number in step.spec.after)
         if not step.spec.long_running:
@@ -112,33 +112,33 @@
 
     @precondition(lambda self: self._runs(RunPhase.RUNNING))
     @rule(data=st.data())
-    def lose_the_answer(self, data: st.DataObject) -> None:
+    def lose_answer(self, data: st.DataObject) -> None:
         run = data.draw(st.sampled_from(self._runs(RunPhase.RUNNING)))
         run.enter_phase(RunPhase.UNCERTAIN, self.harness.now)
-        self.doubtful.add(run)
+        self.unconfirmed.add(run)
 
     @precondition(lambda self: self._runs(RunPhase.UNCERTAIN))
     @rule(data=st.data())
-    def report_without(self, data: st.DataObject) -> None:
-        """Let an executor report before a stop has ruled a doubtful order out."""
+    def report_without_run(self, data: st.DataObject) -> None:
+        """Let an executor report before a stop of an unanswered order is confirmed."""
         run = data.draw(st.sampled_from(self._runs(RunPhase.UNCERTAIN)))
         executor = self.shard.ledger.executors[run.executor]
-        present = [
+        running = [
             RunningRow(other.task.task_id, other.number, "", 100, 0.0)
             for other in executor.runs.values()
             if other is not run
         ]
         now = self.harness.now = self.harness.now + 0.1
-        report = HoldReport(0.0, executor.facts.incarnation, present, [])
+        report = HoldReport(0.0, executor.facts.incarnation, running, [])
         self.shard.take_report(executor, report, now, now, now)
 
     @precondition(lambda self: self._runs(RunPhase.UNCERTAIN))
     @rule(data=st.data())
-    def settle(self, data: st.DataObject) -> None:
+    def confirm_stop(self, data: st.DataObject) -> None:
         """Confirm a stop, then let the executor report without the run."""
         run = data.draw(st.sampled_from(self._runs(RunPhase.UNCERTAIN)))
         run.stop_confirmed = self.harness.now
-        self.doubtful.discard(run)
+        self.unconfirmed.discard(run)
         executor = self.shard.ledger.executors[run.executor]
         now = self.harness.now = self.harness.now + 0.1
         self.shard.take_report(
@@ -147,37 +147,37 @@
 
     @rule(name=st.sampled_from(("i-0", "i-1", "i-2")))
     def restart(self, name: str) -> None:
-        """Crash an executor; its next life reports that it runs nothing."""
-        self.lives[name] += 1
-        self._forget_doubts(name)
-        executor = self.harness.register(facts(name, CPU, incarnation=self.lives[name]))
+        """Crash an executor; its next incarnation reports no runs."""
+        self.incarnations[name] += 1
+        self._discard_unconfirmed(name)
+        executor = self.harness.register(facts(name, CPU, incarnation=self.incarnations[name]))
         now = self.harness.now = self.harness.now + 0.1
         self.shard.take_report(
-            executor, HoldReport(0.0, self.lives[name], [], []), now + 0.01, now + 0.02, now
+            executor, HoldReport(0.0, self.incarnations[name], [], []), now + 0.01, now + 0.02, now
         )
 
-    @rule(name=st.sampled_from(("i-0", "i-1", "i-2")), over=st.booleans())
-    def mark_unresponsive(self, name: str, over: bool) -> None:
+    @rule(name=st.sampled_from(("i-0", "i-1", "i-2")), expired=st.booleans())
+    def unregister(self, name: str, expired: bool) -> None:
         executor = self.shard.ledger.executors.get(name)
         if executor is None:
             return
         self.shard.ledger.unregister(name)
-        executor.lease_expires_at = self.harness.now + (0.0 if over else LEASE)
+        executor.lease_expires_at = self.harness.now + (0.0 if expired else LEASE)
         self._expire()
 
     def _expire(self) -> None:
-        """Renew the leases of executors in touch, as their drivers do, and let others run out."""
+        """Renew the leases of responsive executors, as their drivers do, and let others expire."""
         now = self.harness.now
         for executor in self.shard.ledger.executors.values():
             if executor.registered and executor.unresponsive_since is None:
                 executor.lease_expires_at = now + LEASE
             elif executor.lease_expires_at <= now:
-                self._forget_doubts(executor.name)
+                self._discard_unconfirmed(executor.name)
         self.shard.expire(now, now)
 
     @rule(name=st.sampled_from(("i-0", "i-1", "i-2")))
-    def lose_touch(self, name: str) -> None:
-        """Cut the path to an executor, which runs on."""
+    def disconnect(self, name: str) -> None:
+        """Interrupt the connection to an executor, which continues to run."""
         executor = self.shard.ledger.executors.get(name)
         if executor is None or executor.unresponsive_since is not None:
             return
@@ -186,7 +186,7 @@
         executor.lease_expires_at = self.harness.now + LEASE
 
     @rule(name=st.sampled_from(("i-0", "i-1", "i-2")))
-    def answer_again(self, name: str) -> None:
+    def reconnect(self, name: str) -> None:
         executor = self.shard.ledger.executors.get(name)
         if executor is None or executor.unresponsive_since is None:
             return
@@ -200,13 +200,13 @@
         report = HoldReport(0.0, executor.facts.incarnation, running, [])
         self.shard.take_report(executor, report, now, now, now)
 
-    def _forget_doubts(self, name: str) -> None:
-        """Note that nothing that was ordered of an executor before can begin any more."""
-        self.doubtful = {run for run in self.doubtful if run.executor != name}
+    def _discard_unconfirmed(self, name: str) -> None:
+        """Record that no earlier order to an executor can be executed any more."""
+        self.unconfirmed = {run for run in self.unconfirmed if run.executor != name}
 
     @rule(name=st.sampled_from(("i-0", "i-1", "i-2")))
-    def come_back(self, name: str) -> None:
-        self.harness.register(facts(name, CPU, incarnation=self.lives[name]))
+    def register_again(self, name: str) -> None:
+        self.harness.register(facts(name, CPU, incarnation=self.incarnations[name]))
 
     @precondition(lambda self: self.shard.job_table.jobs)
     @rule(data=st.data())
@@ -215,7 +215,7 @@
         self.shard.cancel(job_id, self.harness.now)
 
     @invariant()
-    def charges_add_up(self) -> None:
+    def charges_match_runs(self) -> None:
         if not hasattr(self, "shard"):
             return
         total = NO_RESOURCES
@@ -231,7 +231,7 @@
         assert self.shard.ledger.usage("north").cpu <= MAXIMUM
 
     @invariant()
-    def no_task_has_two_open_runs(self) -> None:
+    def only_speculative_tasks_have_two_open_runs(self) -> None:
         if not hasattr(self, "shard"):
             return
         runs = list(self.shard.ledger.runs())
@@ -241,7 +241,7 @@
         assert all(any(run is other for other in run.task.open_runs) for run in runs)
 
     @invariant()
-    def bounds_on_one_executor_hold(self) -> None:
+    def step_limits_per_executor_hold(self) -> None:
         if not hasattr(self, "shard"):
             return
         counts = Counter((run.task.step, run.executor) for run in self.shard.ledger.runs())
@@ -249,7 +249,7 @@
             assert not step.spec.most_per_executor or count <= step.spec.most_per_executor
 
     @invariant()
-    def states_tell_the_truth(self) -> None:
+    def job_states_match_their_tasks(self) -> None:
         if not hasattr(self, "shard"):
             return
         for record in self.shard.job_table.jobs.values():
--- a/vanillawell/tests/shares_tests.py
+++ b/vanillawell/tests/shares_tests.py
@@ -1,7 +1,7 @@
-"""Test that organisations get their shares while one of them sends many times its usual.
+"""Test that organisations get their shares while one of them overloads a pool.
 
-The pattern: a pool is full for seconds, and one organisation of several hands in five times as much
-as all others together. What it sends beyond its share waits; the others are served as ever.
+Scenario: a pool is full for seconds, and one organisation submits five times as many jobs as all
+others together. Its jobs beyond its share wait; the others are served as usual.
 """
 
 from __future__ import annotations
@@ -12,19 +12,19 @@
 from vanillawell.state.work_policy import OrganisationLimits
 from vanillawell.tests.scheduling_builders import ShardHarness, facts, job, step
 
-CALM = ("east", "south", "west")
+OTHERS = ("east", "south", "west")
 CORES = 8
 
 
-def _bench(**weights: float) -> ShardHarness:
+def _build_harness(**weights: float) -> ShardHarness:
     limits = {
         name: OrganisationLimits(name, weights.get(name, 1), Resources())
-        for name in ("north", *CALM)
+        for name in ("north", *OTHERS)
     }
     return ShardHarness(facts("i-0", CORES * 1_000), organisations=limits)
 
 
-def _hand_in(harness: ShardHarness, organisation: str, jobs: int) -> None:
+def _submit(harness: ShardHarness, organisation: str, jobs: int) -> None:
     for _ in range(jobs):
         harness.admit(job(step(1, seconds=1.0), organisation=organisation))
 
@@ -33,37 +33,37 @@
     return Counter(run.task.step.record.job.organisation for run in harness.place())
 
 
-def test_an_organisation_that_floods_a_full_pool_takes_no_room_of_others() -> None:
-    """The flood came first, so by deadlines it would take the whole pool."""
-    harness = _bench()
-    _hand_in(harness, "north", 60)
+def test_overloading_organisation_does_not_displace_others() -> None:
+    """Its jobs were submitted first, so in order of deadlines they would take the whole pool."""
+    harness = _build_harness()
+    _submit(harness, "north", 60)
     harness.now += 0.01
-    for name in CALM:
-        _hand_in(harness, name, 2)
+    for name in OTHERS:
+        _submit(harness, name, 2)
     assert _started(harness) == {"north": 2, "east": 2, "south": 2, "west": 2}
 
 
-def test_room_that_others_leave_goes_to_the_flood() -> None:
-    harness = _bench()
-    _hand_in(harness, "north", 60)
-    _hand_in(harness, "east", 1)
+def test_overloading_organisation_gets_capacity_that_others_leave_unused() -> None:
+    harness = _build_harness()
+    _submit(harness, "north", 60)
+    _submit(harness, "east", 1)
     assert _started(harness) == {"north": CORES - 1, "east": 1}
 
 
 def test_shares_follow_weights() -> None:
-    harness = _bench(north=3)
-    _hand_in(harness, "east", 60)
-    _hand_in(harness, "north", 60)
+    harness = _build_harness(north=3)
+    _submit(harness, "east", 60)
+    _submit(harness, "north", 60)
     assert _started(harness) == {"north": 6, "east": 2}
 
 
-def test_a_job_that_has_begun_goes_on_before_new_ones_of_others() -> None:
-    """A job of the flood has done its first step; given up now, that work would be lost."""
-    harness = _bench()
+def test_started_job_continues_before_new_jobs_of_other_organisations() -> None:
+    """A job of the overloading organisation has done its first step; that work must not be lost."""
+    harness = _build_harness()
     chain = job(step(CORES), step(CORES, after=(0,)), organisation="north")
     harness.admit(chain)
     first = harness.place()
-    _hand_in(harness, "east", 20)
+    _submit(harness, "east", 20)
     for run in first:
         harness.end(run)
     assert _started(harness) == {"north": CORES}
--- a/vanillawell/tests/stalls_tests.py
+++ b/vanillawell/tests/stalls_tests.py
@@ -1,4 +1,4 @@
-"""Test that work leaves executors on which it stands still."""
+"""Test that tasks are moved away from stalled executors."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def _report(harness: ShardHarness, runs: list[Run], percents: list[int]) -> list[Run]:
-    """Let an executor report how far runs have come; returns the runs that are to be stopped."""
+    """Let an executor report the progress of runs; return the runs to be stopped."""
     executor = harness.shard.ledger.executors[runs[0].executor]
     rows = [
         RunningRow(run.task.task_id, run.number, "", percent, 0.0)
@@ -20,9 +20,11 @@
     return stops
 
 
-def test_tasks_that_all_stand_still_are_started_elsewhere() -> None:
-    """An executor answers each call and lists its tasks as running, and none of them moves on.
-    Their jobs would be late by as long as it takes to recover, and later tasks with them."""
+def test_tasks_of_stalled_executor_are_started_elsewhere() -> None:
+    """An executor answers all calls and lists its tasks as running, but none makes progress.
+
+    Without the detection, these tasks and newly placed ones would wait until it recovers.
+    """
     harness = ShardHarness(facts("i-0"), facts("i-1"))
     harness.admit(job(step(3)))
     runs = harness.place()
@@ -36,7 +38,7 @@
 
 
 def test_new_tasks_do_not_hide_a_stall() -> None:
-    """Work goes on being placed on an executor that stands still until that is noticed."""
+    """New tasks are placed on a stalled executor until the stall is detected."""
     harness = ShardHarness(facts("i-0"))
     harness.admit(job(step(2)))
     runs = harness.place()
@@ -47,7 +49,7 @@
         runs += harness.place()
 
 
-def test_slow_tasks_are_left_where_they_are() -> None:
+def test_slow_tasks_are_not_stopped() -> None:
     harness = ShardHarness(facts("i-0"))
     harness.admit(job(step(2)))
     runs = harness.place()
@@ -56,8 +58,8 @@
         harness.now += 0.5
 
 
-def test_a_task_that_stands_still_alone_is_left_where_it_is() -> None:
-    """One task that waits for something of its own says nothing of its executor."""
+def test_single_stalled_task_is_not_stopped() -> None:
+    """A single task without progress may wait for something of its own."""
     harness = ShardHarness(facts("i-0"))
     harness.admit(job(step(2)))
     runs = harness.place()
@@ -66,7 +68,7 @@
         harness.now += 0.9
 
 
-def test_tasks_that_last_or_take_minutes_are_given_their_time() -> None:
+def test_long_running_and_long_tasks_do_not_count_as_stalled() -> None:
     harness = ShardHarness(facts("i-0"))
     harness.admit(job(step(2, long_running=True)), job(step(2, seconds=60.0)))
     runs = harness.place()
--- a/vanillawell/tests/wave_age_tests.py
+++ b/vanillawell/tests/wave_age_tests.py
@@ -49,7 +49,9 @@
 
 def test_no_more_clocks_are_stored_than_serve_as_references() -> None:
     clocks = FixedClocks({f"i-{number}@1": 1.0 for number in range(2 * REFERENCE_CLOCKS)})
-    assert list(WaveAge().later(0.0, clocks, 1.0).clocks) == list(clocks.shown)[:REFERENCE_CLOCKS]
+    assert (
+        list(WaveAge().later(0.0, clocks, 1.0).clocks) == list(clocks.readings)[:REFERENCE_CLOCKS]
+    )
 
 
 def test_progress_of_versions_that_stored_no_time_is_read() -> None:
