--- a/vanillawell/coordination/admission_check.py
+++ b/vanillawell/coordination/admission_check.py
@@ -6,17 +6,17 @@
 
 from vanillawell.protocol.refusals import Reason, Refusal
 from vanillawell.protocol.verdict import Verdict
-from vanillawell.state.admission import QueueState, admit, spread, worth_starting
+from vanillawell.state.admission import QueueState, admit, with_jitter, worth_starting
 from vanillawell.state.retries import Failure
 
 if TYPE_CHECKING:
     import random
 
     from vanillawell.coordination.pool_runtime import PoolRuntime
-    from vanillawell.coordination.tickets import LimitSource, Order, Ticket
+    from vanillawell.coordination.tickets import CheckedRequest, LimitSource, Ticket
     from vanillawell.protocol.backend_calls import Answer
     from vanillawell.state.policy import OrganisationPolicy
-    from vanillawell.state.queueing import Waiting
+    from vanillawell.state.queueing import WaitingRequest
 
 NO_BACKEND_RETRY_AFTER = 1.0
 """Seconds to stay away from a service whose backend servers cannot be reached."""
@@ -34,21 +34,25 @@
         self._rng = rng
 
     def on_arrival(
-        self, order: Order, pool: PoolRuntime, organisation: OrganisationPolicy, now: float
+        self,
+        request: CheckedRequest,
+        pool: PoolRuntime,
+        organisation: OrganisationPolicy,
+        now: float,
     ) -> Refusal | None:
         """Return the refusal of a request that need not be queued."""
         if not pool.links:
             return self.no_backend("the pool is empty")
-        by_limit = float(self._limits.usable(order.organisation, now))
-        if not by_limit and not self._limits.may_grow():
+        by_limit = float(self._limits.usable(request.organisation, now))
+        if not by_limit and not self._limits.can_acquire():
             return self.no_units(Verdict.NOT_RUN)
         state = QueueState(
-            length=pool.queue.length(order.organisation),
+            length=pool.queue.length(request.organisation),
             bound=organisation.queue_length,
             service_time=pool.service_time.mean,
-            slots=min(pool.slots_of(order.organisation), by_limit),
+            slots=min(pool.slots_of(request.organisation), by_limit),
         )
-        verdict = admit(state, order.deadline - now, self._rng)
+        verdict = admit(state, request.deadline - now, self._rng)
         if verdict.admitted:
             return None
         reason = Reason.QUEUE_FULL if verdict.queue_full else Reason.CANNOT_FINISH
@@ -56,22 +60,22 @@
 
     def no_units(self, verdict: Verdict) -> Refusal:
         """Refuse what waits for units that cannot be had now."""
-        wait = spread(NO_UNITS_RETRY_AFTER, self._rng)
+        wait = with_jitter(NO_UNITS_RETRY_AFTER, self._rng)
         return Refusal(Reason.NO_UNITS, verdict, retry_after=wait)
 
     def no_backend(self, detail: str = "") -> Refusal:
         """Refuse what no backend server can be reached for."""
-        wait = spread(NO_BACKEND_RETRY_AFTER, self._rng)
+        wait = with_jitter(NO_BACKEND_RETRY_AFTER, self._rng)
         return Refusal(Reason.NO_BACKEND, Verdict.NOT_RUN, detail, wait)
 
-    def worth_starting(self, pool: PoolRuntime, item: Waiting, now: float) -> bool:
+    def worth_starting(self, pool: PoolRuntime, item: WaitingRequest, now: float) -> bool:
         """Tell whether a request that has waited has enough time left to be started."""
         others_wait = pool.queue.length(item.organisation) > 0
-        return worth_starting(item.deadline - now, pool.service_time.usual_least, others_wait)
+        return worth_starting(item.deadline - now, pool.service_time.typical_minimum, others_wait)
 
     def hopeless(self, pool: PoolRuntime, ticket: Ticket) -> Answer | Refusal:
         """Return the final outcome of a request that has too little time left."""
-        wait = spread(pool.service_time.mean, self._rng)
+        wait = with_jitter(pool.service_time.mean, self._rng)
         refusal = Refusal(Reason.CANNOT_FINISH, ticket.verdict_if_given_up, retry_after=wait)
         return ticket.last_answer or refusal
 
--- a/vanillawell/coordination/dispatch.py
+++ b/vanillawell/coordination/dispatch.py
@@ -10,14 +10,20 @@
 
 from vanillawell import clock
 from vanillawell.coordination.admission_check import AdmissionCheck
-from vanillawell.coordination.link_watch import LinkWatch
+from vanillawell.coordination.link_monitor import LinkMonitor
 from vanillawell.coordination.pool_runtime import PoolRuntime
-from vanillawell.coordination.tickets import LimitSource, Order, Ticket, delivered_to, failure_of
+from vanillawell.coordination.tickets import (
+    CheckedRequest,
+    LimitSource,
+    Ticket,
+    delivered_to,
+    failure_of,
+)
 from vanillawell.protocol.backend_calls import Answer, Attempt, AttemptError
 from vanillawell.protocol.refusals import Reason, Refusal
 from vanillawell.protocol.verdict import Verdict
-from vanillawell.state.charges import ChargeBook
-from vanillawell.state.queueing import Waiting
+from vanillawell.state.charges import ChargeCounter
+from vanillawell.state.queueing import WaitingRequest
 from vanillawell.state.retries import (
     FailedAttempt,
     Failure,
@@ -34,7 +40,7 @@
 
     from vanillawell.config.settings import ExperimentSettings
     from vanillawell.protocol.backend_calls import BackendLink, LinkOpener
-    from vanillawell.state.board import DemandBoard
+    from vanillawell.state.demand_table import DemandTable
     from vanillawell.state.policy import Policy
     from vanillawell.telemetry import Telemetry
 
@@ -57,7 +63,7 @@
         self,
         tasks: TaskGroup,
         limits: LimitSource,
-        board: DemandBoard,
+        board: DemandTable,
         telemetry: Telemetry,
         rng: random.Random,
         source: str,
@@ -82,13 +88,13 @@
         self._pools: dict[str, PoolRuntime] = {}
         self._shares: Mapping[str, float] = {}
         self._policy: Policy | None = None
-        self._tickets: dict[Waiting, Ticket] = {}
-        self._charges = ChargeBook()
-        self._watch = LinkWatch(tasks, telemetry, self._hedge, self.pump)
+        self._tickets: dict[WaitingRequest, Ticket] = {}
+        self._charges = ChargeCounter()
+        self._watch = LinkMonitor(tasks, telemetry, self._hedge, self.pump)
         self._owners: dict[Attempt, Ticket] = {}
 
     @property
-    def charges(self) -> ChargeBook:
+    def charges(self) -> ChargeCounter:
         """Return the units of organisations' limits in use."""
         return self._charges
 
@@ -134,26 +140,26 @@
         queued = sum(pool.queue.length(organisation) for pool in self._pools.values())
         return self._charges.charged(organisation) + queued
 
-    def submit(self, order: Order, now: float) -> Ticket | Refusal:
+    def submit(self, request: CheckedRequest, now: float) -> Ticket | Refusal:
         """Accept a request into its queue, or refuse it at once."""
-        pool = self._pools.get(order.pool)
+        pool = self._pools.get(request.pool)
         if (
             pool is None
             or self._policy is None
-            or order.organisation not in self._policy.organisations
+            or request.organisation not in self._policy.organisations
         ):
             detail = "the configuration changed while the request arrived"
             return Refusal(Reason.NO_SUCH_SERVICE, Verdict.NOT_RUN, detail)
-        organisation = self._policy.organisations[order.organisation]
-        refusal = self._admission.on_arrival(order, pool, organisation, now)
+        organisation = self._policy.organisations[request.organisation]
+        refusal = self._admission.on_arrival(request, pool, organisation, now)
         if refusal:
             return refusal
-        waiting = Waiting(order.organisation, order.urgent, now, order.deadline)
-        ticket = Ticket(order, waiting)
+        waiting = WaitingRequest(request.organisation, request.urgent, now, request.deadline)
+        ticket = Ticket(request, waiting)
         self._tickets[waiting] = ticket
         pool.queue.add(waiting)
-        pool.budget.note_first_attempt()
-        self._limits.note_demand(order.organisation)
+        pool.budget.record_first_attempt()
+        self._limits.note_demand(request.organisation)
         self.pump(pool, now)
         return ticket
 
@@ -169,12 +175,12 @@
                 pool.queue.remove(item)
                 self._finish(ticket, self._admission.no_units(ticket.verdict_if_given_up))
 
-    def give_up(self, ticket: Ticket, reason: Reason, now: float) -> Refusal:
+    def abort(self, ticket: Ticket, reason: Reason, now: float) -> Refusal:
         """End a request early, for its deadline or because its caller left."""
-        pool = self._pools.get(ticket.order.pool)
+        pool = self._pools.get(ticket.request.pool)
         if pool and pool.queue.remove(ticket.waiting):
             self._tickets.pop(ticket.waiting, None)
-            self._limits.note_demand(ticket.order.organisation)
+            self._limits.note_demand(ticket.request.organisation)
         known = ticket.verdict_if_given_up
         refusal = Refusal(reason, Verdict.MAY_HAVE_RUN if ticket.running else known)
         ticket.finish(refusal)
@@ -219,12 +225,12 @@
     def _hedge(self, pool: PoolRuntime, attempt: Attempt, executor: str) -> None:
         """Send an overdue idempotent request a second time, once and within the budget."""
         ticket = self._owners[attempt]
-        wanted = ticket.order.idempotent and ticket.outcome is None and not ticket.hedged
+        wanted = ticket.request.idempotent and ticket.outcome is None and not ticket.hedged
         if not wanted or len(pool.links) < 2 or not pool.budget.take():
             return
         ticket.hedged = True
         ticket.waiting.tried.add(executor)
-        self._telemetry.retries.inc({"pool": ticket.order.pool, "kind": "hedge"})
+        self._telemetry.retries.inc({"pool": ticket.request.pool, "kind": "hedge"})
         pool.queue.add(ticket.waiting, front=True)
 
     def pump(self, pool: PoolRuntime, now: float) -> None:
@@ -235,7 +241,7 @@
         def may_start(organisation: str) -> bool:
             return self._charges.charged(organisation) < self._limits.usable(organisation, now)
 
-        def debt(item: Waiting) -> float:
+        def debt(item: WaitingRequest) -> float:
             return item.arrived if self._fifo else pool.debt(item.organisation, self._shares, now)
 
         while len(pool.queue):
@@ -251,19 +257,19 @@
                 return
             self._start(pool, item, executor, now)
 
-    def _refuse_hopeless(self, pool: PoolRuntime, item: Waiting) -> None:
+    def _refuse_hopeless(self, pool: PoolRuntime, item: WaitingRequest) -> None:
         """End a request that waited too long; a second attempt of one that runs is dropped."""
         ticket = self._tickets[item]
         if not ticket.running:
             self._finish(ticket, self._admission.hopeless(pool, ticket))
 
-    def _start(self, pool: PoolRuntime, item: Waiting, executor: str, now: float) -> None:
+    def _start(self, pool: PoolRuntime, item: WaitingRequest, executor: str, now: float) -> None:
         ticket = self._tickets[item]
         link = pool.links[executor]
         ticket.running += 1
         self._charges.charge(item.organisation)
         pool.occupy(item.organisation, 1, now)
-        pool.note_start(executor, now)
+        pool.record_start(executor, now)
         attempt = Attempt(now, lambda: self._may_send(ticket))
         self._owners[attempt] = ticket
         link.attempts.add(attempt)
@@ -272,8 +278,8 @@
     def _may_send(self, ticket: Ticket) -> bool:
         """Tell whether a request that was started may still go out now."""
         now = clock.read()
-        expired = ticket.outcome is not None or now >= ticket.order.deadline
-        return not expired and self._limits.usable(ticket.order.organisation, now) > 0
+        expired = ticket.outcome is not None or now >= ticket.request.deadline
+        return not expired and self._limits.usable(ticket.request.organisation, now) > 0
 
     async def _attempt(
         self, pool: PoolRuntime, ticket: Ticket, link: BackendLink, attempt: Attempt
@@ -283,7 +289,7 @@
         delivered: list[Answer] = []
         try:
             await link.exchange(
-                ticket.order.forward,
+                ticket.request.forward,
                 attempt,
                 self._longest,
                 delivered_to(ticket, delivered, pool, attempt),
@@ -294,26 +300,26 @@
             # A fault of ours or of a library must not end the entry with all its requests; what
             # became of this one is unknown.
             log.exception("attempt failed unexpectedly")
-            error = AttemptError(Failure.NO_WHOLE_ANSWER, "unexpected error")
+            error = AttemptError(Failure.INCOMPLETE_RESPONSE, "unexpected error")
         await link.close_idle()
         now = clock.read()
         del self._owners[attempt]
         self._settle_charge(ticket, attempt, error, now)
-        pool.occupy(ticket.order.organisation, -1, now)
+        pool.occupy(ticket.request.organisation, -1, now)
         self._conclude(pool, ticket, link.executor.name, error, delivered, now)
-        self.pump_all(now)
+        self.dispatch_all(now)
 
     def _settle_charge(
         self, ticket: Ticket, attempt: Attempt, error: AttemptError | None, now: float
     ) -> None:
-        organisation = ticket.order.organisation
-        if error is not None and error.failure is Failure.NO_WHOLE_ANSWER:
+        organisation = ticket.request.organisation
+        if error is not None and error.failure is Failure.INCOMPLETE_RESPONSE:
             self._charges.release_later(organisation, attempt.started + self._longest)
         else:
             self._charges.release(organisation)
         self._limits.note_demand(organisation)
 
-    def pump_all(self, now: float) -> None:
+    def dispatch_all(self, now: float) -> None:
         """Start what may start in any pool."""
         for pool in self._pools.values():
             if len(pool.queue):
@@ -333,16 +339,16 @@
         failure = failure_of(error, answer)
         ticket.running -= 1
         if failure is None:
-            pool.health.note_success(executor)
+            pool.health.record_success(executor)
             ticket.conclude_late(answer)
             self._finish(ticket, answer)
             return
         if failure is Failure.REFUSED_FULL:
-            pool.health.note_full(executor, now, pool.running_at(executor))
+            pool.health.record_full(executor, now, pool.running_at(executor))
         elif failure is not Failure.TOO_LATE:
             self._note_failure(pool, executor, failure, now)
             ticket.waiting.tried.add(executor)
-        ticket.may_have_run |= failure is Failure.NO_WHOLE_ANSWER
+        ticket.may_have_run |= failure is Failure.INCOMPLETE_RESPONSE
         ticket.last_answer = answer or ticket.last_answer
         if ticket.outcome is not None:
             if not ticket.running:
@@ -353,7 +359,7 @@
 
     def _note_failure(self, pool: PoolRuntime, executor: str, failure: Failure, now: float) -> None:
         sent = failure is not Failure.NOT_SENT
-        if pool.health.note_failure(executor, now, len(pool.links), sent):
+        if pool.health.record_failure(executor, now, len(pool.links), sent):
             self._telemetry.ejected(executor, pool.policy.name)
 
     def _retry_or_end(
@@ -361,24 +367,24 @@
     ) -> None:
         if ticket.running:
             return
-        order = ticket.order
+        request = ticket.request
         failed = FailedAttempt(
-            failure, order.idempotent, len(ticket.waiting.tried), order.deadline - now
+            failure, request.idempotent, len(ticket.waiting.tried), request.deadline - now
         )
         reachable = min(pool.policy.attempts, len(pool.links))
         budget = pool.budget if self._budgeted else RetryBudget(0.0, bounded=False)
         decision = decide(failed, reachable, budget)
-        if decision is RetryDecision.GIVE_UP or order.pool not in self._pools:
+        if decision is RetryDecision.GIVE_UP or request.pool not in self._pools:
             self._finish(ticket, self._admission.after_failure(ticket, failure))
             return
-        self._telemetry.retries.inc({"pool": order.pool, "kind": decision.name.lower()})
+        self._telemetry.retries.inc({"pool": request.pool, "kind": decision.name.lower()})
         pool.queue.remove(ticket.waiting)
         pool.queue.add(ticket.waiting, front=True)
 
     def _finish(self, ticket: Ticket, outcome: Answer | Refusal | None) -> None:
         """Set the outcome and forget the request, also a second attempt of it that waits."""
         self._tickets.pop(ticket.waiting, None)
-        pool = self._pools.get(ticket.order.pool)
+        pool = self._pools.get(ticket.request.pool)
         if pool:
             pool.queue.remove(ticket.waiting)
         if outcome is not None:
--- a/vanillawell/entry.py
+++ b/vanillawell/entry.py
@@ -14,7 +14,7 @@
 from vanillawell.exceptions import StoreError
 from vanillawell.identity import Identity
 from vanillawell.protocol.documents import Presence
-from vanillawell.state.burn import BurnBook
+from vanillawell.state.burn import BurnCounters
 from vanillawell.transport.admin import AdminApp
 from vanillawell.transport.asgi import bind, server
 from vanillawell.transport.caller import CallerApp
@@ -70,7 +70,7 @@
         self._tasks = tasks
         me = self._introduce()
         self._core = core = EntryCore(settings, identity, me, store, tasks)
-        burn = BurnBook()
+        burn = BurnCounters()
         self._caller_app = CallerApp(
             core.configuration, core.dispatcher, core.claims, core.telemetry, burn, me.holder
         )
@@ -162,7 +162,7 @@
             await anyio.sleep(STOP_POLL)
         with anyio.move_on_after(STOP_STORE_BOUND):
             try:
-                await self._core.limits.give_back_all()
+                await self._core.limits.release_all()
                 await self._core.membership.leave()
             except StoreError as error:
                 log.warning("units left to their term", extra={"reason": str(error)})
--- a/vanillawell/entry_core.py
+++ b/vanillawell/entry_core.py
@@ -7,12 +7,12 @@
 from typing import TYPE_CHECKING
 
 from vanillawell import clock
-from vanillawell.coordination.assignment import AssignmentFollower
-from vanillawell.coordination.claims import ClaimDesk
-from vanillawell.coordination.configuration import ConfigurationFollower
+from vanillawell.coordination.assignment import AssignmentSync
+from vanillawell.coordination.claims import ClaimService
+from vanillawell.coordination.configuration import ConfigurationSync
 from vanillawell.coordination.dispatch import Dispatcher
 from vanillawell.coordination.job_runner import JobRunner
-from vanillawell.coordination.limit_keeper import LimitKeeper
+from vanillawell.coordination.limit_manager import LimitManager
 from vanillawell.coordination.membership import Membership
 from vanillawell.coordination.peers import Peers
 from vanillawell.coordination.planner import Planner
@@ -20,7 +20,7 @@
 from vanillawell.identity import Identity
 from vanillawell.protocol.documents import Presence, StoreKeys
 from vanillawell.protocol.peer_messages import DocumentKind, NameTable
-from vanillawell.state.board import DemandBoard, Row, is_significant
+from vanillawell.state.demand_table import DemandTable, Row, is_significant
 from vanillawell.state.policy import place_executors
 from vanillawell.telemetry import Telemetry
 from vanillawell.transport.backend import ExecutorLink
@@ -52,20 +52,20 @@
         timing = settings.timing
         self.telemetry = Telemetry()
         rng = random.Random(me.incarnation)
-        self._board = DemandBoard()
+        self._board = DemandTable()
         self._names = NameTable()
         address = settings.platform
         platform = PlatformClient(address, settings.admin.host) if address else None
         self.membership = Membership(
             store, keys, me, settings.store, timing, self.telemetry, platform
         )
-        self.configuration = ConfigurationFollower(
+        self.configuration = ConfigurationSync(
             store, keys, self.membership, settings.store, self.telemetry
         )
-        self.assignment = AssignmentFollower(
+        self.assignment = AssignmentSync(
             store, keys, self.membership, settings.store, self.telemetry
         )
-        self.limits = LimitKeeper(
+        self.limits = LimitManager(
             store, keys, self.membership, self._board, timing, self.telemetry, rng
         )
         self._static = StaticLimits(self.membership)
@@ -82,7 +82,7 @@
             timing.longest_request,
             settings.experiment,
         )
-        self.claims = ClaimDesk(store, keys, self.membership, timing, self.telemetry)
+        self.claims = ClaimService(store, keys, self.membership, timing, self.telemetry)
         self.peers = Peers(
             tasks,
             self.membership,
@@ -123,7 +123,7 @@
         self.limits.connect(
             self.dispatcher.wanted,
             self.dispatcher.charges.charged,
-            lambda: self.dispatcher.pump_all(clock.read()),
+            lambda: self.dispatcher.dispatch_all(clock.read()),
             lambda: self.dispatcher.refuse_without_units(clock.read()),
         )
         self.configuration.on_change(self._apply)
@@ -146,7 +146,7 @@
         self.peers.push()
 
     def _apply_members(self) -> None:
-        self.peers.follow_members()
+        self.peers.update_links()
         self._place()
 
     def _place(self) -> None:
--- a/vanillawell/transport/admin.py
+++ b/vanillawell/transport/admin.py
@@ -13,12 +13,12 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from vanillawell.coordination.assignment import AssignmentFollower
-    from vanillawell.coordination.configuration import ConfigurationFollower
+    from vanillawell.coordination.assignment import AssignmentSync
+    from vanillawell.coordination.configuration import ConfigurationSync
     from vanillawell.coordination.dispatch import Dispatcher
-    from vanillawell.coordination.limit_keeper import LimitKeeper
+    from vanillawell.coordination.limit_manager import LimitManager
     from vanillawell.coordination.membership import Membership
-    from vanillawell.state.burn import BurnBook
+    from vanillawell.state.burn import BurnCounters
     from vanillawell.telemetry import Telemetry
     from vanillawell.transport.asgi import Receive, Scope, Send
 
@@ -79,12 +79,12 @@
     def __init__(
         self,
         membership: Membership,
-        configuration: ConfigurationFollower,
-        assignment: AssignmentFollower,
+        configuration: ConfigurationSync,
+        assignment: AssignmentSync,
         dispatcher: Dispatcher,
-        limits: LimitKeeper,
+        limits: LimitManager,
         telemetry: Telemetry,
-        burn: BurnBook,
+        burn: BurnCounters,
         store_calls: Callable[[], int],
         token: str,
     ) -> None:
