--- a/vanillawell/state/ranking.py
+++ b/vanillawell/state/ranking.py
@@ -56,8 +56,8 @@
 def _lateness(step: StepProgress, now: float) -> int:
     """Return the lateness of a step's job, as defined by `Rank.lateness`.
 
-    A started step counts as in time until its job is without value, since the work already spent on
-    it would be wasted.
+    No remaining work is assumed for a started step, so that it counts as in time until its
+    deadline: the work already spent on it would be wasted otherwise.
     """
     record = step.record
     if now > record.seen_at + MAX_LATENESS * (record.deadline - record.seen_at):
--- a/vanillawell/state/shard.py
+++ b/vanillawell/state/shard.py
@@ -83,13 +83,13 @@
         self._queues.update(policy.queues)
 
     def queues_in_use(self) -> dict[str, Queue]:
-        """Return the available rules of the queues of all tracked jobs."""
+        """Return the available rules of the queues of all jobs tracked so far."""
         return {
             name: self._queues[name] for name in sorted(self._queues_used) if name in self._queues
         }
 
     def lacks_queue_rules(self) -> bool:
-        """Return whether the rules of any tracked job's queue are unavailable."""
+        """Return whether the rules of the queue of any job tracked so far are unavailable."""
         return not self._queues_used <= self._queues.keys()
 
     def restore_queue_rules(self, queues: Mapping[str, Queue]) -> None:
