--- a/vanillawell/state/ledger.py
+++ b/vanillawell/state/ledger.py
@@ -324,11 +324,11 @@
         for end in report.ended:
             if end.sequence > executor.seen_end:
                 self._apply_end(executor, end, outcome, now, find)
-        first_reported_at = {
+        rows_by_run = {
             (row.task_id, row.run): row for row in report.running if row.task_id is not None
         }
         for run in list(executor.runs.values()):
-            row = first_reported_at.pop((run.task.task_id, run.number), None)
+            row = rows_by_run.pop((run.task.task_id, run.number), None)
             if row is not None:
                 self._update_run(run, row, now)
                 if run.superseded and run.task.run is None and not run.task.done:
@@ -338,7 +338,7 @@
                 outcome.ended.append(EndedRun(run, Ending.LOST))
             elif self._may_still_start(run, sent):
                 outcome.unconfirmed.append(run)
-        outcome.orphans.extend(first_reported_at.values())
+        outcome.orphans.extend(rows_by_run.values())
         self._remove_if_unused(executor)
         return outcome
 
