--- a/vanillawell/tests/busy_owner_tests.py
+++ b/vanillawell/tests/busy_owner_tests.py
@@ -74,7 +74,7 @@
         stays = previous is not None and task.step.spec.reserved.fits(previous.free)
         assert chosen is (previous if stays else best)
         harness.shard.plan(task, chosen, 1, "", harness.now)
-        placer.placed(chosen)
+        placer.record_placement(chosen)
         previous = chosen
 
 
@@ -95,7 +95,7 @@
         chosen = placer.choose(task)
         assert chosen is not None
         harness.shard.plan(task, chosen, 1, "", harness.now)
-        placer.placed(chosen)
+        placer.record_placement(chosen)
     assert compared < 12 * FLEET_SIZE
 
 
--- a/vanillawell/tests/lease_manager_tests.py
+++ b/vanillawell/tests/lease_manager_tests.py
@@ -249,7 +249,7 @@
     assert first.save([executor], harness.now)
     second = Owner(first.stored)
     bound = second.manager.inherited_bound("i-1", 500.0)
-    assert (bound.machine, bound.life) == ("m-i-1", executor.facts.incarnation)
+    assert (bound.machine, bound.incarnation) == ("m-i-1", executor.facts.incarnation)
     assert second.manager.inherited_bound("i-2", 500.0).machine == ""
 
 
