--- a/vanillawell/commands/explain.py
+++ b/vanillawell/commands/explain.py
@@ -7,7 +7,14 @@
 
 from vanillawell.commands.printing import print_document, print_line, print_rows
 from vanillawell.exceptions import NotInLogsError, SettingsError
-from vanillawell.state.explain import JobStory, LogLine, gather, read_lines, story_of, summarise
+from vanillawell.state.explain import (
+    JobTimeline,
+    LogLine,
+    find_timeline,
+    group_by_job,
+    read_lines,
+    summarise,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Iterator, Sequence
@@ -18,7 +25,7 @@
 
 def explain(request: str, files: Sequence[Path], output: OutputFormat) -> None:
     """Print the life of one job in order, and what was decisive."""
-    story = story_of(gather(read_lines(_texts(files))), request)
+    story = find_timeline(group_by_job(read_lines(_texts(files))), request)
     if story is None:
         raise NotInLogsError(f"{request}: no line of these logs names it")
     rows = [_row(line, story.lines[0].at) for line in story.lines]
@@ -40,7 +47,7 @@
 
 def explain_all(files: Sequence[Path], output: OutputFormat) -> None:
     """Print how many jobs were refused or late, by cause."""
-    rows = summarise(gather(read_lines(_texts(files))).values())
+    rows = summarise(group_by_job(read_lines(_texts(files))).values())
     if not rows:
         print_line("no job was refused, late or failed")
         return
@@ -67,7 +74,7 @@
     }
 
 
-def _verdict(story: JobStory) -> str:
+def _verdict(story: JobTimeline) -> str:
     late = story.late_by
     text = f"{story.job_id}: {story.outcome}"
     if late is not None:
--- a/vanillawell/commands/jobs.py
+++ b/vanillawell/commands/jobs.py
@@ -11,7 +11,7 @@
 from vanillawell.commands.printing import print_document, print_rows
 from vanillawell.exceptions import ConflictError, SettingsError, StoreOutcomeUnknownError
 from vanillawell.protocol.store import Compare, Put, Transaction
-from vanillawell.state.jobs import Job, JobBook
+from vanillawell.state.jobs import Job, JobRegistry
 
 if TYPE_CHECKING:
     from vanillawell.commands.context import CommandContext
@@ -48,7 +48,7 @@
     """Make one try; a job that is already there was added by a try whose answer was lost."""
     key = context.keys.jobs
     found = await store.get(key)
-    book = JobBook.from_bytes(found.value) if found else JobBook()
+    book = JobRegistry.from_bytes(found.value) if found else JobRegistry()
     if job.job_id in book.jobs:
         return True
     compare = Compare(key, found.mod_revision if found else 0)
@@ -68,7 +68,7 @@
 async def _show(context: CommandContext) -> None:
     async with context.connect() as store:
         found = await store.get(context.keys.jobs)
-    book = JobBook.from_bytes(found.value) if found else JobBook()
+    book = JobRegistry.from_bytes(found.value) if found else JobRegistry()
     rows = [
         {
             "job": job.job_id,
--- a/vanillawell/coordination/admission_check.py
+++ b/vanillawell/coordination/admission_check.py
@@ -6,7 +6,7 @@
 
 from vanillawell.protocol.refusals import Reason, Refusal
 from vanillawell.protocol.verdict import Verdict
-from vanillawell.state.admission import QueueState, admit, spread, worth_starting
+from vanillawell.state.admission import QueueState, admit, with_jitter, worth_starting
 from vanillawell.state.retries import Failure
 
 if TYPE_CHECKING:
@@ -16,7 +16,7 @@
     from vanillawell.coordination.tickets import LimitSource, Order, Ticket
     from vanillawell.protocol.backend_calls import Answer
     from vanillawell.state.policy import OrganisationPolicy
-    from vanillawell.state.queueing import Waiting
+    from vanillawell.state.queueing import WaitingRequest
 
 NO_BACKEND_RETRY_AFTER = 1.0
 """Seconds to stay away from a service whose backend servers cannot be reached."""
@@ -56,22 +56,22 @@
 
     def no_units(self, verdict: Verdict) -> Refusal:
         """Refuse what waits for units that cannot be had now."""
-        wait = spread(NO_UNITS_RETRY_AFTER, self._rng)
+        wait = with_jitter(NO_UNITS_RETRY_AFTER, self._rng)
         return Refusal(Reason.NO_UNITS, verdict, retry_after=wait)
 
     def no_backend(self, detail: str = "") -> Refusal:
         """Refuse what no backend server can be reached for."""
-        wait = spread(NO_BACKEND_RETRY_AFTER, self._rng)
+        wait = with_jitter(NO_BACKEND_RETRY_AFTER, self._rng)
         return Refusal(Reason.NO_BACKEND, Verdict.NOT_RUN, detail, wait)
 
-    def worth_starting(self, pool: PoolRuntime, item: Waiting, now: float) -> bool:
+    def worth_starting(self, pool: PoolRuntime, item: WaitingRequest, now: float) -> bool:
         """Tell whether a request that has waited has enough time left to be started."""
         others_wait = pool.queue.length(item.organisation) > 0
-        return worth_starting(item.deadline - now, pool.service_time.usual_least, others_wait)
+        return worth_starting(item.deadline - now, pool.service_time.typical_minimum, others_wait)
 
     def hopeless(self, pool: PoolRuntime, ticket: Ticket) -> Answer | Refusal:
         """Return the final outcome of a request that has too little time left."""
-        wait = spread(pool.service_time.mean, self._rng)
+        wait = with_jitter(pool.service_time.mean, self._rng)
         refusal = Refusal(Reason.CANNOT_FINISH, ticket.verdict_if_given_up, retry_after=wait)
         return ticket.last_answer or refusal
 
--- a/vanillawell/coordination/dispatch.py
+++ b/vanillawell/coordination/dispatch.py
@@ -16,8 +16,8 @@
 from vanillawell.protocol.backend_calls import Answer, Attempt, AttemptError
 from vanillawell.protocol.refusals import Reason, Refusal
 from vanillawell.protocol.verdict import Verdict
-from vanillawell.state.charges import ChargeBook
-from vanillawell.state.queueing import Waiting
+from vanillawell.state.charges import ChargeCounter
+from vanillawell.state.queueing import WaitingRequest
 from vanillawell.state.retries import (
     FailedAttempt,
     Failure,
@@ -34,7 +34,7 @@
 
     from vanillawell.config.settings import ExperimentSettings
     from vanillawell.protocol.backend_calls import BackendLink, LinkOpener
-    from vanillawell.state.board import DemandBoard
+    from vanillawell.state.demand_table import DemandTable
     from vanillawell.state.policy import Policy
     from vanillawell.telemetry import Telemetry
 
@@ -57,7 +57,7 @@
         self,
         tasks: TaskGroup,
         limits: LimitSource,
-        board: DemandBoard,
+        board: DemandTable,
         telemetry: Telemetry,
         rng: random.Random,
         source: str,
@@ -82,13 +82,13 @@
         self._pools: dict[str, PoolRuntime] = {}
         self._shares: Mapping[str, float] = {}
         self._policy: Policy | None = None
-        self._tickets: dict[Waiting, Ticket] = {}
-        self._charges = ChargeBook()
+        self._tickets: dict[WaitingRequest, Ticket] = {}
+        self._charges = ChargeCounter()
         self._watch = LinkWatch(tasks, telemetry, self._hedge, self.pump)
         self._owners: dict[Attempt, Ticket] = {}
 
     @property
-    def charges(self) -> ChargeBook:
+    def charges(self) -> ChargeCounter:
         """Return the units of organisations' limits in use."""
         return self._charges
 
@@ -148,11 +148,11 @@
         refusal = self._admission.on_arrival(order, pool, organisation, now)
         if refusal:
             return refusal
-        waiting = Waiting(order.organisation, order.urgent, now, order.deadline)
+        waiting = WaitingRequest(order.organisation, order.urgent, now, order.deadline)
         ticket = Ticket(order, waiting)
         self._tickets[waiting] = ticket
         pool.queue.add(waiting)
-        pool.budget.note_first_attempt()
+        pool.budget.record_first_attempt()
         self._limits.note_demand(order.organisation)
         self.pump(pool, now)
         return ticket
@@ -235,7 +235,7 @@
         def may_start(organisation: str) -> bool:
             return self._charges.charged(organisation) < self._limits.usable(organisation, now)
 
-        def debt(item: Waiting) -> float:
+        def debt(item: WaitingRequest) -> float:
             return item.arrived if self._fifo else pool.debt(item.organisation, self._shares, now)
 
         while len(pool.queue):
@@ -251,19 +251,19 @@
                 return
             self._start(pool, item, executor, now)
 
-    def _refuse_hopeless(self, pool: PoolRuntime, item: Waiting) -> None:
+    def _refuse_hopeless(self, pool: PoolRuntime, item: WaitingRequest) -> None:
         """End a request that waited too long; a second attempt of one that runs is dropped."""
         ticket = self._tickets[item]
         if not ticket.running:
             self._finish(ticket, self._admission.hopeless(pool, ticket))
 
-    def _start(self, pool: PoolRuntime, item: Waiting, executor: str, now: float) -> None:
+    def _start(self, pool: PoolRuntime, item: WaitingRequest, executor: str, now: float) -> None:
         ticket = self._tickets[item]
         link = pool.links[executor]
         ticket.running += 1
         self._charges.charge(item.organisation)
         pool.occupy(item.organisation, 1, now)
-        pool.note_start(executor, now)
+        pool.record_start(executor, now)
         attempt = Attempt(now, lambda: self._may_send(ticket))
         self._owners[attempt] = ticket
         link.attempts.add(attempt)
@@ -294,7 +294,7 @@
             # A fault of ours or of a library must not end the entry with all its requests; what
             # became of this one is unknown.
             log.exception("attempt failed unexpectedly")
-            error = AttemptError(Failure.NO_WHOLE_ANSWER, "unexpected error")
+            error = AttemptError(Failure.INCOMPLETE_RESPONSE, "unexpected error")
         await link.close_idle()
         now = clock.read()
         del self._owners[attempt]
@@ -307,7 +307,7 @@
         self, ticket: Ticket, attempt: Attempt, error: AttemptError | None, now: float
     ) -> None:
         organisation = ticket.order.organisation
-        if error is not None and error.failure is Failure.NO_WHOLE_ANSWER:
+        if error is not None and error.failure is Failure.INCOMPLETE_RESPONSE:
             self._charges.release_later(organisation, attempt.started + self._longest)
         else:
             self._charges.release(organisation)
@@ -333,16 +333,16 @@
         failure = failure_of(error, answer)
         ticket.running -= 1
         if failure is None:
-            pool.health.note_success(executor)
+            pool.health.record_success(executor)
             ticket.conclude_late(answer)
             self._finish(ticket, answer)
             return
         if failure is Failure.REFUSED_FULL:
-            pool.health.note_full(executor, now, pool.running_at(executor))
+            pool.health.record_full(executor, now, pool.running_at(executor))
         elif failure is not Failure.TOO_LATE:
             self._note_failure(pool, executor, failure, now)
             ticket.waiting.tried.add(executor)
-        ticket.may_have_run |= failure is Failure.NO_WHOLE_ANSWER
+        ticket.may_have_run |= failure is Failure.INCOMPLETE_RESPONSE
         ticket.last_answer = answer or ticket.last_answer
         if ticket.outcome is not None:
             if not ticket.running:
@@ -353,7 +353,7 @@
 
     def _note_failure(self, pool: PoolRuntime, executor: str, failure: Failure, now: float) -> None:
         sent = failure is not Failure.NOT_SENT
-        if pool.health.note_failure(executor, now, len(pool.links), sent):
+        if pool.health.record_failure(executor, now, len(pool.links), sent):
             self._telemetry.ejected(executor, pool.policy.name)
 
     def _retry_or_end(
--- a/vanillawell/coordination/drain_runner.py
+++ b/vanillawell/coordination/drain_runner.py
@@ -8,7 +8,13 @@
 import anyio
 
 from vanillawell import clock
-from vanillawell.state.draining import lasting_runs, leaves_soon, leaving, time_left, to_move
+from vanillawell.state.draining import (
+    draining_executors,
+    long_running_runs,
+    runs_to_stop,
+    stop_deadline_reached,
+    time_left,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -49,7 +55,7 @@
 
     def look(self, now: float) -> None:
         """Move what can and must be moved now."""
-        found = leaving(self._shard.ledger.executors.values())
+        found = draining_executors(self._shard.ledger.executors.values())
         for executor in found:
             self._empty(executor, now)
         for name in self._told.keys() - {item.name for item in found}:
@@ -60,7 +66,9 @@
         if not self._term.is_held(now):
             self._tell(executor, "waits for the store", now)
             return
-        runs = to_move(executor, lambda run: self._shard.has_place(run, now), self._kill_grace, now)
+        runs = runs_to_stop(
+            executor, lambda run: self._shard.has_place(run, now), self._kill_grace, now
+        )
         for run in runs:
             self._stop(executor, run, now)
         self._tell(executor, self._outcome(executor, now), now)
@@ -68,15 +76,15 @@
             self._wake()
 
     def _outcome(self, executor: Executor, now: float) -> str:
-        left = lasting_runs(executor)
+        left = long_running_runs(executor)
         if not left:
             return "empty"
-        if leaves_soon(executor, self._kill_grace, now):
+        if stop_deadline_reached(executor, self._kill_grace, now):
             return "all stopped"
         return "moving" if any(run.stop_wanted for run in left) else "held"
 
     def _stop(self, executor: Executor, run: Run, now: float) -> None:
-        soon = leaves_soon(executor, self._kill_grace, now)
+        soon = stop_deadline_reached(executor, self._kill_grace, now)
         task_id = run.task.task_id
         fields = {"job": task_id.job_id, "task": task_id[1:], "run": run.number}
         why = "executor leaves soon" if soon else "place elsewhere"
@@ -104,7 +112,7 @@
         return {
             "executor": executor.name,
             "runs": len(executor.runs),
-            "lasting": len(lasting_runs(executor)),
+            "lasting": len(long_running_runs(executor)),
             "remaining": round(time_left(executor, now), 3),
             "age": round(now - executor.told_at, 3),
             "token": self._term.token,
--- a/vanillawell/coordination/driver_clocks.py
+++ b/vanillawell/coordination/driver_clocks.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING
 
-from vanillawell.state.availability import has_lasting
-from vanillawell.state.upkeep import life_of
+from vanillawell.state.availability import has_long_running
+from vanillawell.state.upkeep import incarnation_id
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -21,7 +21,7 @@
 
     def at_least(self, now: float) -> dict[str, float]:
         """Return what the clocks surely show now, by executors' lives."""
-        return {life_of(item.executor): item.clock.at_least(now) for item in self._read()}
+        return {incarnation_id(item.executor): item.clock.at_least(now) for item in self._read()}
 
     def at_most(self, now: float) -> dict[str, float]:
         """Return what the clocks show now at most, by executors' lives.
@@ -33,11 +33,11 @@
             self._read(),
             key=lambda item: (
                 item.executor.is_out_of_touch,
-                not has_lasting(item.executor),
+                not has_long_running(item.executor),
                 -item.clock.read_at,
             ),
         )
-        return {life_of(item.executor): item.clock.at_most(now) for item in read}
+        return {incarnation_id(item.executor): item.clock.at_most(now) for item in read}
 
     def _read(self) -> list[ExecutorDriver]:
         return [item for item in self._drivers.values() if item.knows_clock]
--- a/vanillawell/coordination/job_runner.py
+++ b/vanillawell/coordination/job_runner.py
@@ -15,11 +15,11 @@
 from vanillawell.protocol.store import Compare, Put, Transaction
 from vanillawell.state.jobs import (
     Job,
-    JobBook,
+    JobRegistry,
     JobState,
     TaskReport,
     TaskState,
-    conclude,
+    apply_report,
     jobs_to_start,
     jobs_to_stop,
 )
@@ -56,7 +56,7 @@
         self._pressure = pressure
         self._telemetry = telemetry
         self._role = Role(store, keys.job_runner, membership)
-        self._book = JobBook()
+        self._book = JobRegistry()
         self._revision = 0
 
     async def run(self) -> None:
@@ -82,10 +82,10 @@
 
     async def _read(self) -> None:
         found = await self._store.get(self._key)
-        self._book = JobBook.from_bytes(found.value) if found else JobBook()
+        self._book = JobRegistry.from_bytes(found.value) if found else JobRegistry()
         self._revision = found.mod_revision if found else 0
 
-    async def _write(self, book: JobBook) -> None:
+    async def _write(self, book: JobRegistry) -> None:
         """Write the book; raises NotHolderError if the role or the book changed meanwhile."""
         if book is self._book:
             return
@@ -117,7 +117,7 @@
             if report is None:
                 # The reservation was written and the platform never heard of it.
                 report = TaskReport(TaskState.LOST, 0.0, 0.0, 0.0)
-            await self._write(conclude(self._book, job, report))
+            await self._write(apply_report(self._book, job, report))
             if report.state is not TaskState.RUNNING:
                 self._log(job, report.state)
 
--- a/vanillawell/coordination/limit_keeper.py
+++ b/vanillawell/coordination/limit_keeper.py
@@ -21,7 +21,7 @@
     Demand,
     Ledger,
     OrganisationLimit,
-    least_units,
+    min_retained_units,
     plan_ledger,
     usable_units,
 )
@@ -34,7 +34,7 @@
     from vanillawell.coordination.membership import Membership
     from vanillawell.protocol.documents import StoreKeys
     from vanillawell.protocol.store import Store
-    from vanillawell.state.board import DemandBoard
+    from vanillawell.state.demand_table import DemandTable
     from vanillawell.state.policy import OrganisationPolicy, Policy
     from vanillawell.telemetry import Telemetry
 
@@ -66,7 +66,7 @@
         store: Store,
         keys: StoreKeys,
         membership: Membership,
-        board: DemandBoard,
+        board: DemandTable,
         timing: TimingSettings,
         telemetry: Telemetry,
         rng: random.Random,
@@ -247,7 +247,7 @@
         if copy.revision < 0 or copy.cap is not None:
             return True
         lacking = (
-            max(self._wanted(organisation), self._organisation_limit(organisation).even_part)
+            max(self._wanted(organisation), self._organisation_limit(organisation).even_share)
             > copy.usable
         )
         return lacking and now - copy.read_at > STALE_AFTER
@@ -301,7 +301,7 @@
             wanted=self._wanted(organisation),
             charged=self._charged(organisation),
             recent_peak=self._copies[organisation].recent_peak,
-            elsewhere=self._board.units_needed(organisation, limit.floor),
+            needed_elsewhere=self._board.units_needed(organisation, limit.floor),
         )
 
     async def _write(self, plans: dict[str, Ledger]) -> None:
@@ -370,8 +370,8 @@
         copy = self._copies[organisation]
         limit = self._organisation_limit(organisation)
         held = self.held(organisation)
-        least = least_units(limit, demand)
-        contended = demand.wanted + demand.elsewhere > limit.current.limit
+        least = min_retained_units(limit, demand)
+        contended = demand.wanted + demand.needed_elsewhere > limit.current.limit
         step = max(1, int(held * SOFT_STEP))
         copy.soft = max(least, held - step) if contended and self._reachable else None
         self._recompute(organisation)
--- a/vanillawell/coordination/link_watch.py
+++ b/vanillawell/coordination/link_watch.py
@@ -61,7 +61,7 @@
                 for neighbour in list(pool.links.values()):
                     await neighbour.renew(now)
             else:
-                pool.health.note_failure(name, now, len(pool.links), sent=False)
+                pool.health.record_failure(name, now, len(pool.links), sent=False)
             bound = pool.service_time.overdue_after()
             for item in [item for item in link.attempts if _is_overdue(item, bound, now)]:
                 item.looked_into = True
--- a/vanillawell/coordination/loss_watch.py
+++ b/vanillawell/coordination/loss_watch.py
@@ -11,8 +11,8 @@
 from vanillawell import clock
 from vanillawell.protocol.calls import NoAnswerError, NotSentError
 from vanillawell.protocol.machine_calls import MachineState
-from vanillawell.state.losses import in_doubt, losses
-from vanillawell.state.upkeep import life_of
+from vanillawell.state.lost_executors import find_lost_executors, unresponsive_executors
+from vanillawell.state.upkeep import incarnation_id
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -49,7 +49,7 @@
     async def run(self) -> None:
         """Watch until cancelled."""
         while True:
-            if in_doubt(self._shard.ledger.executors.values(), clock.read()):
+            if unresponsive_executors(self._shard.ledger.executors.values(), clock.read()):
                 await self._look()
                 await anyio.sleep(SECOND_LOOK if self._missing else LIST_PAUSE)
             else:
@@ -57,7 +57,7 @@
                 await anyio.sleep(PAUSE)
 
     async def _look(self) -> None:
-        asked = clock.read()
+        requested_at = clock.read()
         try:
             machines = await self._machines.list_machines()
         except (NotSentError, NoAnswerError) as error:
@@ -68,18 +68,20 @@
             item.name: (item.executor or "") if item.state is MachineState.UP else ""
             for item in machines
         }
-        found = losses(list(self._shard.ledger.executors.values()), carried, asked)
-        again = [item for item in found.missing if life_of(item) in self._missing]
-        self._missing = {life_of(item) for item in found.missing if item not in again}
-        for executor in found.ended:
-            self._end(executor, "another state of its machine", asked)
+        found = find_lost_executors(
+            list(self._shard.ledger.executors.values()), carried, requested_at
+        )
+        again = [item for item in found.missing if incarnation_id(item) in self._missing]
+        self._missing = {incarnation_id(item) for item in found.missing if item not in again}
+        for executor in found.terminated:
+            self._end(executor, "another state of its machine", requested_at)
         for executor in again:
-            self._end(executor, "on no machine, twice", asked)
+            self._end(executor, "on no machine, twice", requested_at)
 
-    def _end(self, executor: Executor, reason: str, asked: float) -> None:
+    def _end(self, executor: Executor, reason: str, requested_at: float) -> None:
         now = clock.read()
         fields = {"executor": executor.name, "machine": executor.facts.machine, "reason": reason}
-        figures = {"runs": len(executor.runs), "age": round(now - asked, 3)}
+        figures = {"runs": len(executor.runs), "age": round(now - requested_at, 3)}
         log.warning("executor has ended", extra={**fields, **figures})
         self._shard.dead(executor.name, executor.facts.incarnation, now, time.time())
         self._wake()
--- a/vanillawell/coordination/peers.py
+++ b/vanillawell/coordination/peers.py
@@ -27,7 +27,7 @@
     SourceReport,
     Versions,
 )
-from vanillawell.state.board import Row
+from vanillawell.state.demand_table import Row
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable, Mapping
@@ -40,7 +40,7 @@
     from vanillawell.protocol.documents import Presence
     from vanillawell.protocol.peer_calls import PeerLink, PeerTransport
     from vanillawell.protocol.peer_messages import Message, NameTable
-    from vanillawell.state.board import DemandBoard
+    from vanillawell.state.demand_table import DemandTable
     from vanillawell.telemetry import Telemetry
 
 BYTES_PER_SECOND = 3_500.0
@@ -100,7 +100,7 @@
         tasks: TaskGroup,
         membership: Membership,
         documents: Mapping[DocumentKind, DocumentFollower],
-        board: DemandBoard,
+        board: DemandTable,
         timing: TimingSettings,
         telemetry: Telemetry,
         transport: PeerTransport,
--- a/vanillawell/coordination/planner.py
+++ b/vanillawell/coordination/planner.py
@@ -20,7 +20,7 @@
 from vanillawell.coordination.role import NotHolderError, Role, act_while_held
 from vanillawell.protocol.calls import NoAnswerError, NotSentError
 from vanillawell.protocol.store import Compare, Put, Transaction
-from vanillawell.state.lending import Lending, LendingDesk
+from vanillawell.state.lending import Lending, LendingPlanner
 from vanillawell.state.limits import Ledger
 from vanillawell.state.pool_steps import next_steps
 from vanillawell.state.pools import (
@@ -95,7 +95,7 @@
         self._configuration = configuration
         self._follower = assignment
         self._demand = demand
-        self._lending = LendingDesk()
+        self._lending = LendingPlanner()
         self._timing = timing
         self._telemetry = telemetry
         self._role = Role(store, keys.planner, membership)
--- a/vanillawell/coordination/pool_demand.py
+++ b/vanillawell/coordination/pool_demand.py
@@ -9,9 +9,9 @@
 from typing import TYPE_CHECKING
 
 from vanillawell.protocol.machine_calls import MachineState
-from vanillawell.state.losses import is_believed
+from vanillawell.state.lost_executors import is_list_credible
 from vanillawell.state.placement_pass import HELD_BY_ROOM
-from vanillawell.state.pool_sizing import PoolDemand, demanded_cores, lasting_floor
+from vanillawell.state.pool_sizing import PoolDemand, demanded_cores, min_long_running_machines
 from vanillawell.state.trial_placement import machines_lacking
 from vanillawell.state.work import CORES_PER_UNIT, NOTHING, Resources
 
@@ -66,7 +66,7 @@
         }
         living = {name for name in up.values() if name}
         # Executors that have just come count, too: a list without them is too old for this.
-        is_empty_known = is_believed(self.lives.values(), living, asked=math.inf)
+        is_empty_known = is_list_credible(self.lives.values(), living, requested_at=math.inf)
         return [
             name
             for name, executor in up.items()
@@ -151,7 +151,7 @@
             len(usable) + on_their_way,
             size.cpu / CORES_PER_UNIT,
             wanted,
-            lasting_floor(steps),
+            min_long_running_machines(steps),
             machines_lacking(sound, on_their_way, size, held),
         )
 
--- a/vanillawell/coordination/pool_runtime.py
+++ b/vanillawell/coordination/pool_runtime.py
@@ -5,23 +5,23 @@
 from collections import Counter
 from typing import TYPE_CHECKING
 
-from vanillawell.state.allotment import (
+from vanillawell.state.health import PoolHealth
+from vanillawell.state.queueing import FairQueue, SlotUse
+from vanillawell.state.response_times import ServiceTime
+from vanillawell.state.retries import RetryBudget
+from vanillawell.state.routing import Candidate, RoutingView, connection_bound, subset
+from vanillawell.state.slot_allocation import (
     PoolDemand,
     executor_quotas,
     round_parts,
     source_targets,
 )
-from vanillawell.state.health import PoolHealth
-from vanillawell.state.queueing import FairQueue, SlotUse
-from vanillawell.state.retries import RetryBudget
-from vanillawell.state.routing import Candidate, RoutingView, connection_bound, subset
-from vanillawell.state.silence import ServiceTime
 
 if TYPE_CHECKING:
     from collections.abc import Mapping, Set
 
     from vanillawell.protocol.backend_calls import BackendLink, LinkOpener
-    from vanillawell.state.board import DemandBoard
+    from vanillawell.state.demand_table import DemandTable
     from vanillawell.state.policy import PoolPolicy
 
 EXCEED_INTERVAL = 0.05
@@ -119,7 +119,7 @@
         ]
         return [row for row in (*rows, *waiting) if row[1] or row[2] > LEAST_DEMAND]
 
-    def refresh(self, board: DemandBoard, shares: Mapping[str, float], now: float) -> None:
+    def refresh(self, board: DemandTable, shares: Mapping[str, float], now: float) -> None:
         """Divide the pool's slots anew from the latest reports."""
         self.refreshed = now
         demand = board.pool_demand(self.policy.name, self._source, self.own_demand())
@@ -154,9 +154,9 @@
             avoid,
         )
 
-    def note_start(self, executor: str, now: float) -> None:
+    def record_start(self, executor: str, now: float) -> None:
         """Note an attempt, which may be one beyond this entry's own slots."""
-        self.health.note_start(executor, now)
+        self.health.record_start(executor, now)
         if self._full and self.running_at(executor) >= self._quotas.get(executor, 0):
             self._exceeded_at = now
 
--- a/vanillawell/coordination/tickets.py
+++ b/vanillawell/coordination/tickets.py
@@ -16,7 +16,7 @@
     from vanillawell.coordination.pool_runtime import PoolRuntime
     from vanillawell.protocol.backend_calls import Answer, Attempt, AttemptError, Forward
     from vanillawell.protocol.refusals import Refusal
-    from vanillawell.state.queueing import Waiting
+    from vanillawell.state.queueing import WaitingRequest
 
 
 class LimitSource(Protocol):
@@ -50,7 +50,7 @@
     """One accepted request on its way to its single final outcome."""
 
     order: Order
-    waiting: Waiting
+    waiting: WaitingRequest
     done: anyio.Event = field(default_factory=anyio.Event)
     outcome: Answer | Refusal | None = None
     may_have_run: bool = False
--- a/vanillawell/coordination/upkeep_orders.py
+++ b/vanillawell/coordination/upkeep_orders.py
@@ -12,8 +12,8 @@
 from vanillawell.coordination.machine_orders import Purpose
 from vanillawell.protocol.calls import NoAnswerError, NotSentError
 from vanillawell.protocol.machine_calls import UpkeepRefusal, UpkeepRefusedError
-from vanillawell.state.availability import expect_loss, may_lose_all
-from vanillawell.state.upkeep import UNKNOWN_LIFE, life_of
+from vanillawell.state.availability import mark_runs_away, may_interrupt_all
+from vanillawell.state.upkeep import UNKNOWN_INCARNATION, incarnation_id
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable, Iterable
@@ -78,18 +78,18 @@
         if not names:
             return
         for name in names:
-            progress.decide(name, UNKNOWN_LIFE)
+            progress.decide(name, UNKNOWN_INCARNATION)
             self.reserve(name)
         await self._save(progress)
         lives = self._shard.ledger.by_machine()
-        progress.away.update({name: life_of(lives[name]) for name in names if name in lives})
+        progress.away.update({name: incarnation_id(lives[name]) for name in names if name in lives})
         await self._order(progress, names)
 
     async def settle_doubtful(self, progress: WaveProgress, now: float) -> None:
         """Repeat orders without an answer: a wave must not be called complete before they begin."""
         due = [
             name
-            for name in progress.doubtful
+            for name in progress.unconfirmed
             if now > progress.ordered.get(name, 0.0) + REPEAT_PAUSE
             and self._orders.may_order(name, now)
         ]
@@ -117,12 +117,12 @@
         if not self._orders.is_fresh(now):
             log.info("upkeep waits for a quicker announcement", extra=fields)
             return
-        if executor is not None and not may_lose_all(executor):
+        if executor is not None and not may_interrupt_all(executor):
             log.warning("upkeep waits for lasting tasks", extra={**fields, "on": executor.name})
             progress.closed.setdefault(name, now)
             return
         if executor is not None:
-            expect_loss(executor)
+            mark_runs_away(executor)
         try:
             await self._machines.begin_upkeep(name, progress.wave.number, self._orders.duty)
         except UpkeepRefusedError as error:
@@ -137,7 +137,7 @@
     def _begun(self, progress: WaveProgress, name: str, executor: Executor | None) -> None:
         progress.confirmed.add(name)
         progress.closed.pop(name, None)
-        if executor is not None and progress.away.get(name) == life_of(executor):
+        if executor is not None and progress.away.get(name) == incarnation_id(executor):
             facts = executor.facts
             self._shard.dead(facts.executor, facts.incarnation, clock.read(), time.time())
         self._settle(name)
--- a/vanillawell/coordination/upkeep_runner.py
+++ b/vanillawell/coordination/upkeep_runner.py
@@ -15,17 +15,17 @@
 from vanillawell.protocol.calls import NoAnswerError, NotSentError
 from vanillawell.protocol.machine_calls import MachineState
 from vanillawell.protocol.store import Put
-from vanillawell.state.availability import has_lasting
+from vanillawell.state.availability import has_long_running
 from vanillawell.state.upkeep import (
-    PATIENCE,
-    UNKNOWN_LIFE,
-    USUAL_UPKEEP,
+    MIN_UPKEEP_DURATION,
+    SHORT_TASK_TIMEOUT,
+    UNKNOWN_INCARNATION,
     Wave,
     WaveProgress,
-    is_empty_enough,
-    life_of,
-    to_close,
-    to_stop,
+    incarnation_id,
+    machines_to_close,
+    may_begin_upkeep,
+    runs_to_move,
 )
 
 if TYPE_CHECKING:
@@ -105,7 +105,7 @@
     def expects(self, now: float) -> bool:
         """Tell whether a machine should be back from its upkeep any moment."""
         return any(
-            now > progress.ordered.get(name, now) + USUAL_UPKEEP
+            now > progress.ordered.get(name, now) + MIN_UPKEEP_DURATION
             for progress in self._waves.values()
             for name in progress.away
         )
@@ -129,11 +129,13 @@
     def _count(self, progress: WaveProgress) -> None:
         """Count the time of a wave that has surely passed under former owners and between them."""
         now, number = clock.read(), progress.wave.number
-        seen = self._ages[number].seen_by(self._clocks, now)
-        if seen >= progress.seen:
+        first_seen = self._ages[number].seen_by(self._clocks, now)
+        if first_seen >= progress.first_seen:
             return
-        progress.seen = seen
-        log.info("wave known for longer", extra={"wave": number, "seconds": round(now - seen, 3)})
+        progress.first_seen = first_seen
+        log.info(
+            "wave known for longer", extra={"wave": number, "seconds": round(now - first_seen, 3)}
+        )
 
     async def _open(self, wave: Wave) -> WaveProgress:
         """Read how far a wave came under former owners."""
@@ -157,18 +159,18 @@
         self._listed = 0.0
         await self._list()
         progress.away = {
-            name: UNKNOWN_LIFE
+            name: UNKNOWN_INCARNATION
             for name in wave.machines
-            if name in progress.doubtful
+            if name in progress.unconfirmed
             or (name in self._machines and self._machines[name].state is MachineState.UPKEEP)
         }
-        for name in progress.doubtful:
+        for name in progress.unconfirmed:
             self._upkeep_orders.reserve(name)
         return progress
 
     async def _save(self, progress: WaveProgress) -> None:
         number, now = progress.wave.number, clock.read()
-        age = self._ages[number].later(progress.seen, self._clocks, now)
+        age = self._ages[number].later(progress.first_seen, self._clocks, now)
         document = {
             **age.to_document(),
             "decided": sorted(progress.decided),
@@ -194,13 +196,15 @@
         now = clock.read()
         executors = self._shard.ledger.by_machine()
         up = {item.name for item in self._machines.values() if item.state is MachineState.UP}
-        lives = {name: life_of(item) for name, item in executors.items()}
-        progress.returned(lives, up | (progress.away.keys() - self._machines.keys()), self._listed)
+        lives = {name: incarnation_id(item) for name, item in executors.items()}
+        progress.release_returned(
+            lives, up | (progress.away.keys() - self._machines.keys()), self._listed
+        )
         for name in progress.wave.machines:
             if name in executors:
                 executors[name].awaits_upkeep = name not in progress.decided
         free = {name: item for name, item in executors.items() if self._may_decide(name, now)}
-        for name in to_close(progress, free, now):
+        for name in machines_to_close(progress, free, now):
             progress.closed[name] = now
             fields = {"wave": progress.wave.number, "machine": name}
             log.info("machine closed", extra={**fields, "runs": len(executors[name].runs)})
@@ -224,10 +228,10 @@
                 del progress.closed[name]
                 continue
             executor.cordoned = True
-            if now < self._settled_at and has_lasting(executor):
+            if now < self._settled_at and has_long_running(executor):
                 continue
             self._move_away(progress, executor, since, now)
-            may_begin = is_empty_enough(executor, since, progress.hurried(now), now)
+            may_begin = may_begin_upkeep(executor, since, progress.past_wait_deadline(now), now)
             if may_begin and self._may_decide(name, now):
                 emptied.append(name)
         return emptied
@@ -235,8 +239,8 @@
     def _move_away(
         self, progress: WaveProgress, executor: Executor, since: float, now: float
     ) -> None:
-        impatient = progress.hurried(now) or now > since + PATIENCE
-        runs = to_stop(executor, lambda run: impatient or self._shard.has_place(run, now))
+        impatient = progress.past_wait_deadline(now) or now > since + SHORT_TASK_TIMEOUT
+        runs = runs_to_move(executor, lambda run: impatient or self._shard.has_place(run, now))
         for run in runs:
             self._shard.want_stop(run)
         if runs:
--- a/vanillawell/entry.py
+++ b/vanillawell/entry.py
@@ -14,7 +14,7 @@
 from vanillawell.exceptions import StoreError
 from vanillawell.identity import Identity
 from vanillawell.protocol.documents import Presence
-from vanillawell.state.burn import BurnBook
+from vanillawell.state.burn import BurnCounters
 from vanillawell.transport.admin import AdminApp
 from vanillawell.transport.asgi import bind, server
 from vanillawell.transport.caller import CallerApp
@@ -70,7 +70,7 @@
         self._tasks = tasks
         me = self._introduce()
         self._core = core = EntryCore(settings, identity, me, store, tasks)
-        burn = BurnBook()
+        burn = BurnCounters()
         self._caller_app = CallerApp(
             core.configuration, core.dispatcher, core.claims, core.telemetry, burn, me.holder
         )
--- a/vanillawell/entry_core.py
+++ b/vanillawell/entry_core.py
@@ -20,7 +20,7 @@
 from vanillawell.identity import Identity
 from vanillawell.protocol.documents import Presence, StoreKeys
 from vanillawell.protocol.peer_messages import DocumentKind, NameTable
-from vanillawell.state.board import DemandBoard, Row, is_significant
+from vanillawell.state.demand_table import DemandTable, Row, is_significant
 from vanillawell.state.policy import place_executors
 from vanillawell.telemetry import Telemetry
 from vanillawell.transport.backend import ExecutorLink
@@ -52,7 +52,7 @@
         timing = settings.timing
         self.telemetry = Telemetry()
         rng = random.Random(me.incarnation)
-        self._board = DemandBoard()
+        self._board = DemandTable()
         self._names = NameTable()
         address = settings.platform
         platform = PlatformClient(address, settings.admin.host) if address else None
--- a/vanillawell/protocol/peer_messages.py
+++ b/vanillawell/protocol/peer_messages.py
@@ -11,7 +11,7 @@
 
 from vanillawell.exceptions import PeerProtocolError
 from vanillawell.protocol.documents import Presence
-from vanillawell.state.board import Row
+from vanillawell.state.demand_table import Row
 
 SCHEMA = capnp.load(str(Path(__file__).with_name("peer.capnp")))
 
--- a/vanillawell/standins/measure/requests.py
+++ b/vanillawell/standins/measure/requests.py
@@ -13,7 +13,7 @@
 from vanillawell.standins.load import LoadGenerator, LoadResult, Stream, Target, peaks, steady
 from vanillawell.standins.measure.fleets import BASELINE, fleet_of, load, load_window, summary
 from vanillawell.standins.processes import wait_until
-from vanillawell.state.allotment import fair_slots
+from vanillawell.state.slot_allocation import fair_slots
 
 
 def measure_shares(deployment: Deployment, seed: int) -> dict[str, Any]:
--- a/vanillawell/standins/measure/slopes.py
+++ b/vanillawell/standins/measure/slopes.py
@@ -20,7 +20,7 @@
 )
 from vanillawell.standins.deployment import Deployment, operator_tree
 from vanillawell.standins.measure.fits import Fit, fit
-from vanillawell.state.board import DemandBoard, Row
+from vanillawell.state.demand_table import DemandTable, Row
 from vanillawell.state.limits import Demand, Ledger, LimitChange, OrganisationLimit, plan_ledger
 from vanillawell.state.policy import compile_policy
 from vanillawell.state.pool_steps import next_steps
@@ -198,7 +198,7 @@
     shares = {name: organisation.share for name, organisation in policy.organisations.items()}
 
     def division(count: int) -> float:
-        board = DemandBoard()
+        board = DemandTable()
         rows = tuple(
             Row("pool-s1", f"organisation-{number:03d}", 3, 0.5)
             for number in range(min(count, 430))
--- a/vanillawell/state/admission.py
+++ b/vanillawell/state/admission.py
@@ -41,9 +41,9 @@
     """Admit a request unless its queue is full or it cannot finish in `time_left` seconds."""
     wait = start_delay(state)
     if state.length >= state.bound:
-        return Admission(False, True, spread(wait, rng))
+        return Admission(False, True, with_jitter(wait, rng))
     if state.length and wait + state.service_time > time_left:
-        return Admission(False, False, spread(wait + state.service_time - time_left, rng))
+        return Admission(False, False, with_jitter(wait + state.service_time - time_left, rng))
     return Admission(True)
 
 
@@ -58,7 +58,7 @@
     return (state.length + 1) * state.service_time / max(state.slots, 0.5)
 
 
-def worth_starting(time_left: float, usual_least: float, others_wait: bool) -> bool:
+def worth_starting(time_left: float, typical_minimum: float, others_wait: bool) -> bool:
     """Tell whether to start a request that has waited, rather than the next one of its
     organisation.
 
@@ -67,9 +67,9 @@
     gets an answer. While nobody else waits the slot has no better use, and its run keeps the
     measured times fresh, so that a service that was slow once is not refused for ever.
     """
-    return not others_wait or time_left >= usual_least
+    return not others_wait or time_left >= typical_minimum
 
 
-def spread(seconds: float, rng: random.Random) -> float:
+def with_jitter(seconds: float, rng: random.Random) -> float:
     """Turn a wait into a Retry-After with jitter."""
     return max(LEAST_RETRY_AFTER, seconds) * (1 + rng.uniform(0, JITTER))
--- a/vanillawell/state/availability.py
+++ b/vanillawell/state/availability.py
@@ -25,7 +25,7 @@
     return run.at_work and not run.stop_wanted
 
 
-def may_take_away(run: Run) -> bool:
+def may_interrupt(run: Run) -> bool:
     """Tell whether planned work may end this run now.
 
     A step says how many of its tasks may be away at once. Tasks that are away for any other cause
@@ -38,12 +38,12 @@
     return not bound or others_away(run.task.step, run) < bound
 
 
-def has_lasting(executor: Executor) -> bool:
+def has_long_running(executor: Executor) -> bool:
     """Tell whether a long-running task is charged to an executor."""
     return any(run.task.step.spec.long_running for run in executor.runs.values())
 
 
-def may_lose_all(executor: Executor) -> bool:
+def may_interrupt_all(executor: Executor) -> bool:
     """Tell whether planned work may end everything on an executor at once."""
     lasting = [run for run in executor.runs.values() if run.task.step.spec.long_running]
     for step in {run.task.step for run in lasting}:
@@ -55,7 +55,7 @@
     return True
 
 
-def expect_loss(executor: Executor) -> None:
+def mark_runs_away(executor: Executor) -> None:
     """Count all on an executor as away, since an order that ends it is about to go out.
 
     Orders go out side by side. Counted only once the first is answered, two tasks of a step of
--- a/vanillawell/state/burn.py
+++ b/vanillawell/state/burn.py
@@ -84,7 +84,7 @@
         )
 
 
-class BurnBook:
+class BurnCounters:
     """Hold the counts of all services and organisations of one entry."""
 
     def __init__(self) -> None:
--- a/vanillawell/state/charges.py
+++ b/vanillawell/state/charges.py
@@ -11,7 +11,7 @@
 from collections import Counter
 
 
-class ChargeBook:
+class ChargeCounter:
     """Hold the units that are in use, by organisation."""
 
     def __init__(self) -> None:
--- a/vanillawell/state/board.py
+++ b/vanillawell/state/demand_table.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from vanillawell.state.allotment import PoolDemand
+from vanillawell.state.slot_allocation import PoolDemand
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -58,7 +58,7 @@
     rows: dict[tuple[str, str], Row] = field(default_factory=dict)
 
 
-class DemandBoard:
+class DemandTable:
     """Hold the latest report of each source."""
 
     def __init__(self) -> None:
--- a/vanillawell/state/draining.py
+++ b/vanillawell/state/draining.py
@@ -11,7 +11,7 @@
 
 from typing import TYPE_CHECKING
 
-from vanillawell.state.upkeep import to_stop
+from vanillawell.state.upkeep import runs_to_move
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
@@ -32,7 +32,7 @@
 """Percentage at which a task has done its work and is about to end."""
 
 
-def leaving(executors: Iterable[Executor]) -> list[Executor]:
+def draining_executors(executors: Iterable[Executor]) -> list[Executor]:
     """Return the executors that said that they end, in the same order for each owner."""
     found = [item for item in executors if item.registered and item.leaves_after is not None]
     return sorted(found, key=lambda item: item.name)
@@ -43,12 +43,12 @@
     return max(0.0, (executor.leaves_after or 0.0) - now)
 
 
-def leaves_soon(executor: Executor, kill_grace: float, now: float) -> bool:
+def stop_deadline_reached(executor: Executor, kill_grace: float, now: float) -> bool:
     """Tell whether stops must go out now for their ends to be known before an executor leaves."""
     return time_left(executor, now) <= kill_grace + REPORTING
 
 
-def lasting_runs(executor: Executor) -> list[Run]:
+def long_running_runs(executor: Executor) -> list[Run]:
     """Return the long-running tasks that are charged to an executor."""
     return [run for run in executor.runs.values() if run.task.step.spec.long_running]
 
@@ -73,12 +73,12 @@
     return least_rest(run, now) > time_left(executor, now) + OVERTIME
 
 
-def to_move(
+def runs_to_stop(
     executor: Executor, has_place: Callable[[Run], bool], kill_grace: float, now: float
 ) -> list[Run]:
     """Return the runs on an executor that leaves that have to be stopped now."""
-    if not leaves_soon(executor, kill_grace, now):
-        return to_stop(executor, has_place)
-    lost = lasting_runs(executor)
+    if not stop_deadline_reached(executor, kill_grace, now):
+        return runs_to_move(executor, has_place)
+    lost = long_running_runs(executor)
     lost += [run for run in executor.runs.values() if _outlasts(run, executor, now)]
     return [run for run in lost if not run.stop_wanted]
--- a/vanillawell/state/explain.py
+++ b/vanillawell/state/explain.py
@@ -55,7 +55,7 @@
 
 
 @dataclass(slots=True)
-class JobStory:
+class JobTimeline:
     """Everything that was logged about one job, in order."""
 
     job_id: str
@@ -148,24 +148,24 @@
         yield replace(line, fields=fields)
 
 
-def gather(lines: Iterable[LogLine]) -> dict[str, JobStory]:
+def group_by_job(lines: Iterable[LogLine]) -> dict[str, JobTimeline]:
     """Return the stories of all jobs, by id."""
-    stories: dict[str, JobStory] = {}
+    stories: dict[str, JobTimeline] = {}
     for line in itertools.chain.from_iterable(map(_by_job, lines)):
         job_id = line.fields.get("job")
         if isinstance(job_id, str) and job_id:
-            stories.setdefault(job_id, JobStory(job_id)).lines.append(line)
+            stories.setdefault(job_id, JobTimeline(job_id)).lines.append(line)
     for story in stories.values():
         story.lines.sort(key=lambda line: line.at)
     return stories
 
 
-def story_of(stories: dict[str, JobStory], request: str) -> JobStory | None:
+def find_timeline(stories: dict[str, JobTimeline], request: str) -> JobTimeline | None:
     """Return the story of a job by its id, or by the name of one of its tasks."""
     return stories.get(request.partition(".")[0])
 
 
-def summarise(stories: Iterable[JobStory]) -> list[dict[str, Any]]:
+def summarise(stories: Iterable[JobTimeline]) -> list[dict[str, Any]]:
     """Return by cause how many jobs were refused or late, the commonest cause first."""
     counts: Counter[tuple[str, str]] = Counter()
     for story in stories:
--- a/vanillawell/state/health.py
+++ b/vanillawell/state/health.py
@@ -92,12 +92,12 @@
         """Forget executors that left the pool."""
         self._executors = {key: value for key, value in self._executors.items() if key in executors}
 
-    def note_start(self, executor: str, now: float) -> None:
+    def record_start(self, executor: str, now: float) -> None:
         """Note that an attempt begins."""
         health = self.of(executor)
         health.probing = health.on_trial(now)
 
-    def note_full(self, executor: str, now: float, running: int) -> None:
+    def record_full(self, executor: str, now: float, running: int) -> None:
         """Note a refusal since the executor is full while `running` attempts stay there.
 
         That is no failure. Several entries that each find an executor with room would try it
@@ -109,7 +109,7 @@
         health.refused_at = now
         health.window = max(1.0, float(running))
 
-    def note_success(self, executor: str) -> None:
+    def record_success(self, executor: str) -> None:
         """Note a good attempt; it ends a trial."""
         health = self.of(executor)
         if health.ejections:
@@ -119,7 +119,7 @@
         health.window += WINDOW_GROWTH / max(1.0, health.window)
         health.outcomes.append(True)
 
-    def note_failure(self, executor: str, now: float, pool_size: int, sent: bool) -> bool:
+    def record_failure(self, executor: str, now: float, pool_size: int, sent: bool) -> bool:
         """Note a failed attempt; True if it leads to an ejection.
 
         An attempt that could not even be sent says more about the executor than about the
--- a/vanillawell/state/jobs.py
+++ b/vanillawell/state/jobs.py
@@ -75,7 +75,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class JobBook:
+class JobRegistry:
     """All jobs, and what was learned about kinds and workers, as stored."""
 
     version: int = 0
@@ -91,13 +91,13 @@
         return orjson.dumps(self)
 
     @classmethod
-    def from_bytes(cls, data: bytes) -> JobBook:
+    def from_bytes(cls, data: bytes) -> JobRegistry:
         """Read the document."""
         document: dict[str, Any] = orjson.loads(data)
         jobs = {name: _read_job(item) for name, item in document["jobs"].items()}
         return cls(document["version"], jobs, document["size_ratio"], document["succeeded_on"])
 
-    def with_job(self, job: Job) -> JobBook:
+    def with_job(self, job: Job) -> JobRegistry:
         """Return the next version with one job changed."""
         return replace(self, version=self.version + 1, jobs={**self.jobs, job.job_id: job})
 
@@ -155,19 +155,19 @@
     used_cores: float
 
 
-def slack(job: Job, book: JobBook, now: float) -> float:
+def slack(job: Job, book: JobRegistry, now: float) -> float:
     """Return the seconds a job can still wait and be done in time, with some safety."""
     remaining = max(0.0, job.core_seconds - job.checkpoint)
     run_time = remaining / max(job.cores, 0.1) * max(1.0, book.size_ratio.get(job.kind, 1.0))
     return job.finish_by - now - SAFETY_FACTOR * run_time
 
 
-def must_run(job: Job, book: JobBook, now: float) -> bool:
+def must_run(job: Job, book: JobRegistry, now: float) -> bool:
     """Tell whether a job can wait no longer."""
     return slack(job, book, now) <= 0
 
 
-def jobs_to_stop(book: JobBook, pressure: float, now: float) -> list[Job]:
+def jobs_to_stop(book: JobRegistry, pressure: float, now: float) -> list[Job]:
     """Return running jobs that give way, the one with most slack first."""
     if pressure < HIGH_PRESSURE:
         return []
@@ -177,7 +177,7 @@
 
 
 def jobs_to_start(
-    book: JobBook, workers: list[Worker], pressure: float, now: float
+    book: JobRegistry, workers: list[Worker], pressure: float, now: float
 ) -> list[tuple[Job, str]]:
     """Return jobs to start and where, the one with least slack first."""
     free = _free_cores(book, workers)
@@ -193,7 +193,7 @@
     return started
 
 
-def _free_cores(book: JobBook, workers: list[Worker]) -> dict[str, float]:
+def _free_cores(book: JobRegistry, workers: list[Worker]) -> dict[str, float]:
     """Return free cores by worker: what is measured or expected as used, whichever is more."""
     expected: Counter[str] = Counter()
     for job in book.jobs.values():
@@ -207,14 +207,14 @@
     }
 
 
-def _place(job: Job, book: JobBook, free: Mapping[str, float]) -> str | None:
+def _place(job: Job, book: JobRegistry, free: Mapping[str, float]) -> str | None:
     """Return the worker with most room on which the job has not failed; it may be too small."""
     wanted = book.expected_cores(job)
     open_ones = [name for name in free if name not in job.failed_on and free[name] >= wanted]
     return max(open_ones, key=lambda name: (free[name], name), default=None)
 
 
-def conclude(book: JobBook, job: Job, report: TaskReport) -> JobBook:
+def apply_report(book: JobRegistry, job: Job, report: TaskReport) -> JobRegistry:
     """Take over what the platform says of a running job's task."""
     match report.state:
         case TaskState.DONE:
@@ -228,12 +228,12 @@
             return _learn_size(book, job, report)
 
 
-def _note_done(book: JobBook, job: Job) -> JobBook:
+def _note_done(book: JobRegistry, job: Job) -> JobRegistry:
     count = book.succeeded_on.get(job.worker, 0) + 1
     return replace(book, succeeded_on={**book.succeeded_on, job.worker: count})
 
 
-def _note_failed(book: JobBook, job: Job) -> JobBook:
+def _note_failed(book: JobRegistry, job: Job) -> JobRegistry:
     """Try another worker, or end a job that fails wherever it is started."""
     failed_on = (*job.failed_on, job.worker)
     if len(set(failed_on)) >= FAILURES_OF_A_JOB:
@@ -242,7 +242,7 @@
     return book.with_job(replace(job, state=JobState.WAITING, failed_on=failed_on))
 
 
-def _learn_size(book: JobBook, job: Job, report: TaskReport) -> JobBook:
+def _learn_size(book: JobRegistry, job: Job, report: TaskReport) -> JobRegistry:
     """Stop trusting a declared size that the measured use contradicts."""
     ratio = report.used_cores / max(job.cores, 0.1)
     known = book.size_ratio.get(job.kind, 1.0)
--- a/vanillawell/state/lending.py
+++ b/vanillawell/state/lending.py
@@ -114,7 +114,7 @@
     """When how many instances were needed, for as long as they are held."""
 
 
-class LendingDesk:
+class LendingPlanner:
     """Turn the demand of each pool into a need of instances, with hysteresis.
 
     This is kept in memory by the entry that plans. Its successor starts without it: for some
--- a/vanillawell/state/limits.py
+++ b/vanillawell/state/limits.py
@@ -82,7 +82,7 @@
     recent_peak: int
     """Largest `wanted` of the last seconds."""
 
-    elsewhere: int = 0
+    needed_elsewhere: int = 0
     """Units that all other entries need, as they last reported."""
 
 
@@ -105,7 +105,7 @@
         return self.changes[-1]
 
     @property
-    def even_part(self) -> int:
+    def even_share(self) -> int:
         """Return the units an idle entry holds while no other entry lacks them."""
         return self.current.limit // max(1, self.entries)
 
@@ -161,21 +161,21 @@
     zone starves another by having been first.
     """
     wanted = demand.wanted
-    total = wanted + demand.elsewhere
+    total = wanted + demand.needed_elsewhere
     limit = organisation.current.limit
     if total > limit and wanted:
         wanted = math.ceil(limit * wanted / total)
     return max(wanted, min(organisation.floor, limit))
 
 
-def least_units(organisation: OrganisationLimit, demand: Demand) -> int:
+def min_retained_units(organisation: OrganisationLimit, demand: Demand) -> int:
     """Return the units below which this entry gives nothing to entries that lack some.
 
     Rounded down, where `goal_units` rounds up: with both rounded up, four entries could keep all
     of a limit of eight, two each, while two more wait with none until their deadlines.
     """
     wanted = demand.wanted
-    total = wanted + demand.elsewhere
+    total = wanted + demand.needed_elsewhere
     limit = organisation.current.limit
     if total > limit and wanted:
         wanted = max(1, limit * wanted // total)
@@ -200,12 +200,12 @@
 
 def _lacking(held: int, organisation: OrganisationLimit, demand: Demand) -> int:
     """Return the units that others need and cannot have while `held` stay here."""
-    return demand.elsewhere - (organisation.current.limit - held)
+    return demand.needed_elsewhere - (organisation.current.limit - held)
 
 
 def _after_giving(held: int, organisation: OrganisationLimit, demand: Demand) -> int:
     """Give at once what others lack, as far as it is not in use here."""
-    idle = held - max(least_units(organisation, demand), demand.charged)
+    idle = held - max(min_retained_units(organisation, demand), demand.charged)
     return held - max(0, min(idle, _lacking(held, organisation, demand)))
 
 
@@ -216,9 +216,9 @@
 
     Units that nobody holds are of no use to anyone while the store is down or a zone is cut off.
     """
-    wanted = max(goal, demand.recent_peak, organisation.even_part)
+    wanted = max(goal, demand.recent_peak, organisation.even_share)
     if held > wanted:
         return wanted
-    affordable = organisation.current.limit - demand.elsewhere
+    affordable = organisation.current.limit - demand.needed_elsewhere
     more = min(wanted, affordable) - held
     return held + max(0, min(more, ledger.free))
--- a/vanillawell/state/losses.py
+++ b/vanillawell/state/lost_executors.py
@@ -23,17 +23,17 @@
 
 
 @dataclass(slots=True)
-class Losses:
+class LostExecutors:
     """What one reading of the list says of executors in doubt."""
 
-    ended: list[Executor] = field(default_factory=list)
+    terminated: list[Executor] = field(default_factory=list)
     """Their machines are listed as not up, or with another executor."""
 
     missing: list[Executor] = field(default_factory=list)
     """They are on no machine of the list. Their machines may be gone, or the list incomplete."""
 
 
-def in_doubt(executors: Iterable[Executor], now: float) -> list[Executor]:
+def unresponsive_executors(executors: Iterable[Executor], now: float) -> list[Executor]:
     """Return the executors out of touch that have work and that the list should name by now."""
     return [
         item
@@ -42,31 +42,35 @@
     ]
 
 
-def losses(executors: Collection[Executor], carried: Mapping[str, str], asked: float) -> Losses:
-    """Judge the executors in doubt by a list that was asked for at `asked`.
+def find_lost_executors(
+    executors: Collection[Executor], carried: Mapping[str, str], requested_at: float
+) -> LostExecutors:
+    """Judge the executors in doubt by a list that was asked for at `requested_at`.
 
     `carried` holds the executor on each listed machine, empty for one that is not up.
     """
     living = set(carried.values())
-    found = Losses()
-    if not is_believed(executors, living, asked):
+    found = LostExecutors()
+    if not is_list_credible(executors, living, requested_at):
         return found
-    for executor in in_doubt(executors, asked):
+    for executor in unresponsive_executors(executors, requested_at):
         if executor.name in living:
             continue
         listed = executor.facts.machine in carried
-        (found.ended if listed else found.missing).append(executor)
+        (found.terminated if listed else found.missing).append(executor)
     return found
 
 
-def is_believed(executors: Iterable[Executor], living: Collection[str], asked: float) -> bool:
+def is_list_credible(
+    executors: Iterable[Executor], living: Collection[str], requested_at: float
+) -> bool:
     """Tell whether a list names most of the executors that do answer.
 
     Those that have come since the list may have been made speak neither for nor against it, unless
     there are no others.
     """
     in_touch = [item for item in executors if item.registered and not item.is_out_of_touch]
-    settled = [item for item in in_touch if asked > item.known_since + LISTED_AFTER]
+    settled = [item for item in in_touch if requested_at > item.known_since + LISTED_AFTER]
     witnesses = settled or in_touch
     named = sum(item.name in living for item in witnesses)
     return bool(named) and named >= BELIEVED_FROM * len(witnesses)
--- a/vanillawell/state/placement.py
+++ b/vanillawell/state/placement.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from typing import TYPE_CHECKING
 
-from vanillawell.state.availability import has_lasting
+from vanillawell.state.availability import has_long_running
 from vanillawell.state.work import NOTHING, Resources
 
 if TYPE_CHECKING:
@@ -118,7 +118,7 @@
             spec.long_running and executor.awaits_upkeep,
             bool(wanted) and rack != wanted,
             crowd,
-            spec.long_running and not spec.tail_target and not has_lasting(executor),
+            spec.long_running and not spec.tail_target and not has_long_running(executor),
             spread,
             used,
             executor.name,
--- a/vanillawell/state/pool_sizing.py
+++ b/vanillawell/state/pool_sizing.py
@@ -137,7 +137,7 @@
         return None
 
 
-def lasting_floor(steps: Iterable[StepProgress]) -> int:
+def min_long_running_machines(steps: Iterable[StepProgress]) -> int:
     """Return the machines that a pool needs so that all of its lasting tasks find places.
 
     None is kept for the loss of one: from standby another comes within two seconds, and a machine
--- a/vanillawell/state/queueing.py
+++ b/vanillawell/state/queueing.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Waiting:
+class WaitingRequest:
     """One request that waits for a slot."""
 
     organisation: str
@@ -59,21 +59,21 @@
     """Requests of one organisation that wait for one pool, urgent ones apart."""
 
     def __init__(self) -> None:
-        self._urgent: deque[Waiting] = deque()
-        self._deferrable: deque[Waiting] = deque()
+        self._urgent: deque[WaitingRequest] = deque()
+        self._deferrable: deque[WaitingRequest] = deque()
 
     def __len__(self) -> int:
         return len(self._urgent) + len(self._deferrable)
 
-    def __iter__(self) -> Iterator[Waiting]:
+    def __iter__(self) -> Iterator[WaitingRequest]:
         yield from self._urgent
         yield from self._deferrable
 
-    def line(self, urgent: bool) -> deque[Waiting]:
+    def line(self, urgent: bool) -> deque[WaitingRequest]:
         """Return one of the two lines."""
         return self._urgent if urgent else self._deferrable
 
-    def add(self, item: Waiting, front: bool = False) -> None:
+    def add(self, item: WaitingRequest, front: bool = False) -> None:
         """Append a request; one that goes back after a refusal keeps its place in front."""
         line = self.line(item.urgent)
         if front:
@@ -81,7 +81,7 @@
         else:
             line.append(item)
 
-    def remove(self, item: Waiting) -> bool:
+    def remove(self, item: WaitingRequest) -> bool:
         """Take a cancelled request out; False if it no longer waits."""
         try:
             self.line(item.urgent).remove(item)
@@ -99,7 +99,7 @@
     def __len__(self) -> int:
         return sum(len(queue) for queue in self._organisations.values())
 
-    def __iter__(self) -> Iterator[Waiting]:
+    def __iter__(self) -> Iterator[WaitingRequest]:
         for queue in self._organisations.values():
             yield from queue
 
@@ -115,18 +115,18 @@
             if len(queue)
         }
 
-    def add(self, item: Waiting, front: bool = False) -> None:
+    def add(self, item: WaitingRequest, front: bool = False) -> None:
         """Let a request wait."""
         self._organisations.setdefault(item.organisation, OrganisationQueue()).add(item, front)
 
-    def remove(self, item: Waiting) -> bool:
+    def remove(self, item: WaitingRequest) -> bool:
         """Take a cancelled request out; False if it no longer waits."""
         queue = self._organisations.get(item.organisation)
         return queue is not None and queue.remove(item)
 
     def pick(
-        self, may_start: Callable[[str], bool], debt: Callable[[Waiting], float]
-    ) -> Waiting | None:
+        self, may_start: Callable[[str], bool], debt: Callable[[WaitingRequest], float]
+    ) -> WaitingRequest | None:
         """Take out the next request to start, or None if none may.
 
         Urgent lines go first. Within a line the organisation whose first request has the least
--- a/vanillawell/state/silence.py
+++ b/vanillawell/state/response_times.py
@@ -34,7 +34,7 @@
         return self._mean or 0.0
 
     @property
-    def usual_least(self) -> float:
+    def typical_minimum(self) -> float:
         """Return the seconds below which few answers come; 0 while times are too mixed to tell."""
         return max(0.0, self.mean - self._deviation)
 
--- a/vanillawell/state/retries.py
+++ b/vanillawell/state/retries.py
@@ -22,7 +22,7 @@
         self._bounded = bounded
         self._tokens = BUDGET_START
 
-    def note_first_attempt(self) -> None:
+    def record_first_attempt(self) -> None:
         """Earn a fraction of one retry."""
         self._tokens = min(BUDGET_CAP, self._tokens + self._ratio)
 
@@ -48,7 +48,7 @@
     TOO_LATE = auto()
     """This entry may not send it any more; nothing went out and nothing is broken."""
 
-    NO_WHOLE_ANSWER = auto()
+    INCOMPLETE_RESPONSE = auto()
     """It went out, and no answer or half an answer came back."""
 
     SERVER_ERROR = auto()
--- a/vanillawell/state/upkeep.py
+++ b/vanillawell/state/upkeep.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from vanillawell.state.availability import has_lasting, may_lose_all, may_take_away
+from vanillawell.state.availability import has_long_running, may_interrupt, may_interrupt_all
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Collection, Mapping
@@ -34,16 +34,16 @@
 EMPTYING = 3.0
 """Seconds that it takes to empty a machine, from closing it to its order."""
 
-PATIENCE = 4.0
+SHORT_TASK_TIMEOUT = 4.0
 """Seconds for which tasks that end by themselves are waited for; longer ones are stopped."""
 
 LIST_LAG = 0.3
 """Seconds by which a list must be younger than an order to show its effect; a first guess."""
 
-USUAL_UPKEEP = 1.7
+MIN_UPKEEP_DURATION = 1.7
 """Seconds after which a machine may be back from upkeep; upkeeps are said to take 2 s."""
 
-UNKNOWN_LIFE = "unknown"
+UNKNOWN_INCARNATION = "unknown"
 """Stands for the life of an executor on a machine where none was seen before its upkeep."""
 
 HASTE = 0.75
@@ -68,7 +68,7 @@
     """How far a wave has come."""
 
     wave: Wave
-    seen: float
+    first_seen: float
     """Clock of decisions when it was first seen."""
 
     decided: set[str] = field(default_factory=set)
@@ -88,16 +88,16 @@
 
     completed: bool = False
 
-    def hurried(self, now: float) -> bool:
+    def past_wait_deadline(self, now: float) -> bool:
         """Tell whether so much time has passed that nothing is waited for any more."""
         return self.unhurried_for(now) < 0
 
     def unhurried_for(self, now: float) -> float:
         """Return the seconds for which tasks may be waited for; negative once that is over."""
-        return self.seen + HASTE * self.wave.duration - now
+        return self.first_seen + HASTE * self.wave.duration - now
 
     @property
-    def doubtful(self) -> set[str]:
+    def unconfirmed(self) -> set[str]:
         """Return the machines whose order went out, or may have, and got no answer."""
         return self.decided - self.confirmed
 
@@ -107,7 +107,9 @@
         self.away[machine] = life
         self.closed.pop(machine, None)
 
-    def returned(self, lives: Mapping[str, str], up: Collection[str], listed: float) -> None:
+    def release_returned(
+        self, lives: Mapping[str, str], up: Collection[str], listed: float
+    ) -> None:
         """Free the places of machines that are back.
 
         `lives` tells which life each machine has now, `up` which ones the list of machines showed
@@ -118,21 +120,23 @@
         later still, and is repeated.
         """
         for machine, before in list(self.away.items()):
-            if machine in self.doubtful:
+            if machine in self.unconfirmed:
                 continue
             age = listed - self.ordered.get(machine, 0.0)
-            changed = before == UNKNOWN_LIFE or lives.get(machine, before) != before
-            over = machine in self.confirmed and machine not in lives and age > USUAL_UPKEEP
+            changed = before == UNKNOWN_INCARNATION or lives.get(machine, before) != before
+            over = machine in self.confirmed and machine not in lives and age > MIN_UPKEEP_DURATION
             if age > LIST_LAG and (changed or over) and machine in up:
                 del self.away[machine]
 
 
-def life_of(executor: Executor) -> str:
+def incarnation_id(executor: Executor) -> str:
     """Return what tells two lives of an executor apart."""
     return f"{executor.name}@{executor.facts.incarnation}"
 
 
-def to_close(progress: WaveProgress, executors: Mapping[str, Executor], now: float) -> list[str]:
+def machines_to_close(
+    progress: WaveProgress, executors: Mapping[str, Executor], now: float
+) -> list[str]:
     """Return machines that should be emptied now.
 
     Lasting tasks are moved one after the other as their steps allow, which decides how long a wave
@@ -169,7 +173,7 @@
 
 def _emptying_kind(executor: Executor) -> tuple[str, bool]:
     """Return the service, and whether lasting tasks have to be moved away."""
-    return executor.facts.service, has_lasting(executor)
+    return executor.facts.service, has_long_running(executor)
 
 
 def _emptied_at_once(size: int, left: int, lasting: bool, time_left: float) -> int:
@@ -183,7 +187,7 @@
     return max(1, int(part * size), math.ceil(left / rounds))
 
 
-def to_stop(executor: Executor, has_place: Callable[[Run], bool]) -> list[Run]:
+def runs_to_move(executor: Executor, has_place: Callable[[Run], bool]) -> list[Run]:
     """Return long-running tasks of an executor that may be moved now, one of a step.
 
     A task for which no other executor has a place stays at work: stopped now, it would be away
@@ -194,13 +198,15 @@
     for run in sorted(executor.runs.values(), key=lambda run: run.task.task_id):
         step = run.task.step
         movable = step.spec.long_running and not run.stop_wanted and step not in chosen
-        if movable and may_take_away(run) and has_place(run):
+        if movable and may_interrupt(run) and has_place(run):
             chosen[step] = run
     return list(chosen.values())
 
 
-def is_empty_enough(executor: Executor, since: float, hurried: bool, now: float) -> bool:
+def may_begin_upkeep(
+    executor: Executor, since: float, past_wait_deadline: bool, now: float
+) -> bool:
     """Tell whether the upkeep of a closed machine may begin."""
-    if has_lasting(executor):
-        return hurried and may_lose_all(executor)
-    return not executor.runs or hurried or now > since + PATIENCE
+    if has_long_running(executor):
+        return past_wait_deadline and may_interrupt_all(executor)
+    return not executor.runs or past_wait_deadline or now > since + SHORT_TASK_TIMEOUT
--- a/vanillawell/tests/advice_desk_tests.py
+++ b/vanillawell/tests/advice_desk_tests.py
@@ -8,7 +8,7 @@
 
 from vanillawell import clock
 from vanillawell.coordination.advice_desk import AdviceDesk
-from vanillawell.state.upkeep import PATIENCE
+from vanillawell.state.upkeep import SHORT_TASK_TIMEOUT
 from vanillawell.state.work_policy import AdviceRule, Queue, Service
 from vanillawell.tests.scheduler_cluster import HINTED_PREFIX, Cluster, until, with_cluster
 from vanillawell.tests.scheduler_cluster import job as body_of_job
@@ -155,5 +155,5 @@
     machine = built.machines.machines[built.hosts["i-0"].machine]
     wave = {"wave": 1, "machines": [machine.name], "durationS": 60, "maximum": 1}
     built.store.put_document("op/wave/1", wave)
-    await until(lambda: bool(built.hosts["i-1"].life.running), PATIENCE / 2)
-    await until(lambda: machine.upkeeps == 1, PATIENCE / 2)
+    await until(lambda: bool(built.hosts["i-1"].life.running), SHORT_TASK_TIMEOUT / 2)
+    await until(lambda: machine.upkeeps == 1, SHORT_TASK_TIMEOUT / 2)
--- a/vanillawell/tests/claims_tests.py
+++ b/vanillawell/tests/claims_tests.py
@@ -12,7 +12,7 @@
 from vanillawell.protocol.documents import StoreKeys
 from vanillawell.telemetry import Telemetry
 from vanillawell.tests.builders import presence, timing, uuid7
-from vanillawell.tests.fakes import RacyStore
+from vanillawell.tests.fakes import FaultyStore
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -32,7 +32,7 @@
         self.members = {"entry-1": self.me}
 
 
-class LossyStore(RacyStore):
+class LossyStore(FaultyStore):
     """A store that grants leases and loses the answers of some conclusions."""
 
     def __init__(self) -> None:
--- a/vanillawell/tests/config_tests.py
+++ b/vanillawell/tests/config_tests.py
@@ -31,7 +31,7 @@
     encode,
 )
 from vanillawell.standins.measure import slopes
-from vanillawell.state.board import Row
+from vanillawell.state.demand_table import Row
 from vanillawell.state.limits import LimitChange
 from vanillawell.tests.builders import instance, presence, timing, tree
 
--- a/vanillawell/tests/draining_state_tests.py
+++ b/vanillawell/tests/draining_state_tests.py
@@ -10,7 +10,12 @@
 
 from vanillawell.platform.documents import UnreadableDocumentError, read_executor
 from vanillawell.protocol.executor_calls import HoldReport, RunningRow
-from vanillawell.state.draining import leaves_soon, leaving, time_left, to_move
+from vanillawell.state.draining import (
+    draining_executors,
+    runs_to_stop,
+    stop_deadline_reached,
+    time_left,
+)
 from vanillawell.state.executors import ENTRY_AGE
 from vanillawell.state.work_policy import AdviceRule, Queue
 from vanillawell.tests.scheduling_builders import POOL, QUEUE, Bench, facts, job, step
@@ -30,7 +35,9 @@
 
 
 def _to_move(bench: Bench, executor: Executor) -> list[Run]:
-    return to_move(executor, lambda run: bench.shard.has_place(run, bench.now), GRACE, bench.now)
+    return runs_to_stop(
+        executor, lambda run: bench.shard.has_place(run, bench.now), GRACE, bench.now
+    )
 
 
 def _two_lasting(bench: Bench, **fields: Any) -> list[Run]:
@@ -148,9 +155,9 @@
     bench = Bench(facts("i-0"))
     _two_lasting(bench)
     executor = _drains(bench, "i-0", 4.0)
-    assert leaving(bench.shard.ledger.executors.values()) == [executor]
+    assert draining_executors(bench.shard.ledger.executors.values()) == [executor]
     bench.register(facts("i-0"))
-    assert leaving(bench.shard.ledger.executors.values()) == []
+    assert draining_executors(bench.shard.ledger.executors.values()) == []
 
 
 def test_an_entry_that_is_read_again_gives_no_more_time() -> None:
@@ -177,12 +184,12 @@
     bench = Bench(facts("i-0"))
     executor = _drains(bench, "i-0", 4.0)
     bench.register(facts("i-0", incarnation=2))
-    assert leaving([executor]) == []
+    assert draining_executors([executor]) == []
 
 
 def test_an_executor_that_does_not_say_how_long_it_goes_on_may_leave_at_once() -> None:
     bench = Bench(facts("i-0"))
-    assert leaves_soon(_drains(bench, "i-0", None), GRACE, bench.now)
+    assert stop_deadline_reached(_drains(bench, "i-0", None), GRACE, bench.now)
 
 
 def test_a_task_that_needs_advice_is_not_moved_before_it_is_known_who_may_run_it() -> None:
--- a/vanillawell/tests/driver_clocks_tests.py
+++ b/vanillawell/tests/driver_clocks_tests.py
@@ -8,7 +8,7 @@
 
 from vanillawell.coordination.driver_clocks import DriverClocks
 from vanillawell.coordination.leases import REFERENCE_CLOCKS, ExecutorClock
-from vanillawell.state.availability import has_lasting
+from vanillawell.state.availability import has_long_running
 from vanillawell.tests.lease_keeper_tests import busy_executor
 from vanillawell.tests.scheduling_builders import Bench, facts
 
@@ -43,7 +43,7 @@
         reader.read(bench.now)
         reader.executor.silent_since = bench.now
         lost.append(reader)
-    assert all(has_lasting(reader.executor) for reader in lost)
+    assert all(has_long_running(reader.executor) for reader in lost)
     sound = Reader(bench.register(facts("i-sound")))
     sound.read(bench.now + 1.0)
     readers = {item.executor.name: item for item in (*lost, sound)}
--- a/vanillawell/tests/fakes.py
+++ b/vanillawell/tests/fakes.py
@@ -9,7 +9,7 @@
 
 
 @dataclass
-class RacyStore:
+class FaultyStore:
     """A store whose next write may be lost, delayed or refused."""
 
     mode: str = "ok"
--- a/vanillawell/tests/jobs_tests.py
+++ b/vanillawell/tests/jobs_tests.py
@@ -8,12 +8,12 @@
 from vanillawell.standins.processes import wait_until
 from vanillawell.state.jobs import (
     Job,
-    JobBook,
+    JobRegistry,
     JobState,
     TaskReport,
     TaskState,
     Worker,
-    conclude,
+    apply_report,
     jobs_to_start,
     jobs_to_stop,
 )
@@ -31,8 +31,8 @@
     return replace(Job(name, "guild", "rebuild", 10.0, 1.0, finish_by), **changes)
 
 
-def book(*jobs: Job, **changes: Any) -> JobBook:
-    return replace(JobBook(1, {item.job_id: item for item in jobs}), **changes)
+def book(*jobs: Job, **changes: Any) -> JobRegistry:
+    return replace(JobRegistry(1, {item.job_id: item for item in jobs}), **changes)
 
 
 def workers(count: int = 2, cores: float = 2.0, used: float = 0.0) -> list[Worker]:
@@ -56,7 +56,7 @@
 def test_a_declaration_that_was_wrong_is_not_trusted_again() -> None:
     running = job("a", state=JobState.RUNNING, worker="w0")
     report = TaskReport(TaskState.RUNNING, 1.0, 0.0, 8.0)
-    learned = conclude(book(running), running, report)
+    learned = apply_report(book(running), running, report)
     assert learned.expected_cores(job("b")) > 4.0
     assert jobs_to_start(replace(learned, jobs={"b": job("b")}), workers(), 0.0, 0.0) == []
 
@@ -65,7 +65,7 @@
     book_now, current = book(job("bad")), job("bad")
     for number in range(3):
         current = replace(current, state=JobState.RUNNING, worker=f"w{number}")
-        book_now = conclude(book_now, current, TaskReport(TaskState.FAILED, 0, 0, 0))
+        book_now = apply_report(book_now, current, TaskReport(TaskState.FAILED, 0, 0, 0))
         current = book_now.jobs["bad"]
     assert current.state is JobState.FAILED
     assert "w0, w1, w2" in current.error
@@ -80,14 +80,14 @@
 
 def test_a_lost_task_goes_on_from_its_checkpoint() -> None:
     running = job("a", state=JobState.RUNNING, worker="w0", attempt=1)
-    after = conclude(book(running), running, TaskReport(TaskState.LOST, 6.0, 5.0, 1.0))
+    after = apply_report(book(running), running, TaskReport(TaskState.LOST, 6.0, 5.0, 1.0))
     assert after.jobs["a"].state is JobState.WAITING
     assert after.jobs["a"].checkpoint == 5.0
 
 
 def test_a_book_survives_the_store() -> None:
     one = book(job("a", failed_on=("w0",)), size_ratio={"rebuild": 2.0}, succeeded_on={"w1": 3})
-    assert JobBook.from_bytes(one.to_bytes()) == one
+    assert JobRegistry.from_bytes(one.to_bytes()) == one
 
 
 def states(fleet: Fleet) -> dict[str, str]:
--- a/vanillawell/tests/lending_tests.py
+++ b/vanillawell/tests/lending_tests.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from vanillawell.state.lending import Lending, LendingDesk, PeakForecast
+from vanillawell.state.lending import Lending, LendingPlanner, PeakForecast
 from vanillawell.state.pool_steps import next_steps
 from vanillawell.state.pools import (
     Assignment,
@@ -21,7 +21,7 @@
 SLOTS = 8
 
 
-def need(desk: LendingDesk, weigh: Lending, demand: float, now: float) -> PoolNeed:
+def need(desk: LendingPlanner, weigh: Lending, demand: float, now: float) -> PoolNeed:
     return desk.need("pool-a", weigh, demand, OWN, SLOTS, now)
 
 
@@ -47,20 +47,20 @@
 
 
 def test_nothing_is_lent_while_operators_leave_it_off() -> None:
-    assert need(LendingDesk(), Lending.OFF, 500.0, 0.0) == PoolNeed()
+    assert need(LendingPlanner(), Lending.OFF, 500.0, 0.0) == PoolNeed()
 
 
 def test_buffer_cost_lends_only_for_demand_that_lasts_and_little() -> None:
-    desk = LendingDesk()
+    desk = LendingPlanner()
     assert need(desk, Lending.BUFFER_COST, 60.0, 0.0).now == 0
     assert need(desk, Lending.BUFFER_COST, 60.0, 2.5).now == 0
     assert need(desk, Lending.BUFFER_COST, 60.0, 3.0).now == 2
-    assert need(LendingDesk(), Lending.NEARNESS, 60.0, 0.0).now == 4
+    assert need(LendingPlanner(), Lending.NEARNESS, 60.0, 0.0).now == 4
 
 
 def test_a_short_dip_sends_nothing_home() -> None:
     """Demand swings around what a pool holds; each move takes an instance out of both pools."""
-    desk = LendingDesk()
+    desk = LendingPlanner()
     for now in range(20):
         demand = 60.0 if now % 2 == 0 else 10.0
         held = need(desk, Lending.NEARNESS, demand, float(now)).held
@@ -69,14 +69,14 @@
 
 
 def test_what_a_burst_needed_is_not_held_while_less_is_needed_for_long() -> None:
-    desk = LendingDesk()
+    desk = LendingPlanner()
     need(desk, Lending.NEARNESS, 100.0, 0.0)
     later = [need(desk, Lending.NEARNESS, 50.0, float(now)).held for now in range(1, 30)]
     assert later[0] > later[-1] == 3
 
 
 def test_instances_are_lent_before_a_peak_that_comes_at_regular_times() -> None:
-    desk = LendingDesk()
+    desk = LendingPlanner()
     for start in (0.0, 20.0, 40.0):
         need(desk, Lending.NEARNESS, 70.0, start)
         need(desk, Lending.NEARNESS, 5.0, start + 3.0)
@@ -90,7 +90,7 @@
 
     Else the instances that came ahead of it would be sent home, or to others, in its midst.
     """
-    desk = LendingDesk()
+    desk = LendingPlanner()
     for start in (0.0, 20.0, 40.0):
         need(desk, Lending.BUFFER_COST, 70.0, start)
         need(desk, Lending.BUFFER_COST, 5.0, start + 2.0)
--- a/vanillawell/tests/limit_keeper_tests.py
+++ b/vanillawell/tests/limit_keeper_tests.py
@@ -16,12 +16,12 @@
 from vanillawell.coordination.limit_keeper import LimitKeeper
 from vanillawell.exceptions import StoreError
 from vanillawell.protocol.documents import StoreKeys
-from vanillawell.state.board import DemandBoard, Row
+from vanillawell.state.demand_table import DemandTable, Row
 from vanillawell.state.limits import LimitChange
 from vanillawell.state.policy import OrganisationPolicy, Policy
 from vanillawell.telemetry import Telemetry
 from vanillawell.tests.builders import presence, timing
-from vanillawell.tests.fakes import RacyStore
+from vanillawell.tests.fakes import FaultyStore
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
@@ -54,7 +54,7 @@
 
     def __init__(self, machine: LimitRaces, name: str) -> None:
         self.demand = 0
-        self.board = DemandBoard()
+        self.board = DemandTable()
         self.me = presence(name, incarnation=f"run-{machine.next_run()}")
         self.members = KnownMembers(self.me, machine.members, machine.over)
         store: Any = machine.store
@@ -97,7 +97,7 @@
         self.time = 1000.0
         self.clock = patch("vanillawell.clock.read", self.read_clock)
         self.clock.start()
-        self.store = RacyStore()
+        self.store = FaultyStore()
         self.members: dict[str, Presence] = {}
         self.over: set[str] = set()
         self.runs = 0
--- a/vanillawell/tests/losses_tests.py
+++ b/vanillawell/tests/lost_executors_tests.py
@@ -3,7 +3,12 @@
 from __future__ import annotations
 
 from vanillawell.state.executors import Executor
-from vanillawell.state.losses import LISTED_AFTER, Losses, in_doubt, losses
+from vanillawell.state.lost_executors import (
+    LISTED_AFTER,
+    LostExecutors,
+    find_lost_executors,
+    unresponsive_executors,
+)
 from vanillawell.tests.scheduling_builders import Bench, facts, job, step
 
 LATER = LISTED_AFTER + 1.0
@@ -26,31 +31,35 @@
     """Waiting for its leases would help nobody."""
     bench, executors = bench_of("i-1", "i-2", "i-3")
     executors[0].silent_since = bench.now
-    asked = bench.now + LATER
-    assert in_doubt(executors, asked) == [executors[0]]
-    assert losses(executors, listing("i-2", "i-3", down=("i-1",)), asked).ended == [executors[0]]
+    requested_at = bench.now + LATER
+    assert unresponsive_executors(executors, requested_at) == [executors[0]]
+    assert find_lost_executors(
+        executors, listing("i-2", "i-3", down=("i-1",)), requested_at
+    ).terminated == [executors[0]]
 
 
 def test_an_executor_whose_machine_carries_another_one_has_ended() -> None:
     bench, executors = bench_of("i-1", "i-2")
     executors[0].silent_since = bench.now
     listed = {"m-i-1": "i-9", "m-i-2": "i-2"}
-    assert losses(executors, listed, bench.now + LATER).ended == [executors[0]]
+    assert find_lost_executors(executors, listed, bench.now + LATER).terminated == [executors[0]]
 
 
 def test_an_executor_whose_machine_is_not_listed_is_only_missing() -> None:
     """The machine is gone for good, or the list was incomplete this time."""
     bench, executors = bench_of("i-1", "i-2", "i-3")
     executors[0].silent_since = bench.now
-    found = losses(executors, listing("i-2", "i-3"), bench.now + LATER)
-    assert found == Losses(ended=[], missing=[executors[0]])
+    found = find_lost_executors(executors, listing("i-2", "i-3"), bench.now + LATER)
+    assert found == LostExecutors(terminated=[], missing=[executors[0]])
 
 
 def test_an_executor_behind_a_broken_path_is_waited_for() -> None:
     """Its machine is up. It runs on until its leases expire, and its tasks would run twice."""
     bench, executors = bench_of("i-1", "i-2")
     executors[0].silent_since = bench.now
-    assert losses(executors, listing("i-1", "i-2"), bench.now + LATER) == Losses()
+    assert (
+        find_lost_executors(executors, listing("i-1", "i-2"), bench.now + LATER) == LostExecutors()
+    )
 
 
 def test_a_list_from_before_an_executor_came_proves_nothing_of_it() -> None:
@@ -59,7 +68,7 @@
     executors[0].silent_since = bench.now
     executors[1].known_since = bench.now - LATER
     listed = listing("i-2", down=("i-1",))
-    assert losses(executors, listed, bench.now + LISTED_AFTER / 2) == Losses()
+    assert find_lost_executors(executors, listed, bench.now + LISTED_AFTER / 2) == LostExecutors()
 
 
 def test_a_new_life_under_an_old_id_is_not_ended_by_a_list_from_before() -> None:
@@ -67,13 +76,19 @@
     bench, executors = bench_of("i-1", "i-2")
     executors[0].begin_life(bench.now + LATER)
     listed = listing("i-2", down=("i-1",))
-    assert losses(executors, listed, bench.now + LATER + LISTED_AFTER / 2) == Losses()
+    assert (
+        find_lost_executors(executors, listed, bench.now + LATER + LISTED_AFTER / 2)
+        == LostExecutors()
+    )
 
 
 def test_an_executor_that_answers_is_alive_whatever_the_list_says() -> None:
     """The list misses an executor that reports its work."""
     bench, executors = bench_of("i-1", "i-2", "i-3", "i-4")
-    assert losses(executors, listing("i-2", "i-3", "i-4"), bench.now + LATER) == Losses()
+    assert (
+        find_lost_executors(executors, listing("i-2", "i-3", "i-4"), bench.now + LATER)
+        == LostExecutors()
+    )
 
 
 def test_a_list_that_misses_what_answers_is_not_believed() -> None:
@@ -81,9 +96,12 @@
     bench, executors = bench_of("i-1", "i-2", "i-3", "i-4", "i-5")
     executors[0].silent_since = bench.now
     for living in ((), ("i-2",), ("i-2", "i-3")):
-        assert losses(executors, listing(*living, down=("i-1",)), bench.now + LATER) == Losses()
+        assert (
+            find_lost_executors(executors, listing(*living, down=("i-1",)), bench.now + LATER)
+            == LostExecutors()
+        )
     listed = listing("i-2", "i-3", "i-4", down=("i-1",))
-    assert losses(executors, listed, bench.now + LATER).ended == [executors[0]]
+    assert find_lost_executors(executors, listed, bench.now + LATER).terminated == [executors[0]]
 
 
 def test_without_any_executor_in_touch_no_list_is_believed() -> None:
@@ -91,7 +109,10 @@
     bench, executors = bench_of("i-1", "i-2")
     for executor in executors:
         executor.silent_since = bench.now
-    assert losses(executors, listing("i-2", down=("i-1",)), bench.now + LATER) == Losses()
+    assert (
+        find_lost_executors(executors, listing("i-2", down=("i-1",)), bench.now + LATER)
+        == LostExecutors()
+    )
 
 
 def test_executors_that_run_nothing_are_not_asked_about() -> None:
@@ -99,7 +120,7 @@
     bench = Bench(facts("i-1"))
     executors = list(bench.shard.ledger.executors.values())
     executors[0].silent_since = bench.now
-    assert in_doubt(executors, bench.now + LATER) == []
+    assert unresponsive_executors(executors, bench.now + LATER) == []
 
 
 def test_executors_that_have_just_come_do_not_speak_against_a_list() -> None:
@@ -107,12 +128,14 @@
     that is down would be believed to be, and lasting tasks wait for the leases of its executor."""
     bench, executors = bench_of("i-1", "i-2", "i-3")
     executors[0].silent_since = bench.now
-    asked = bench.now + LATER
-    bench.now = asked - LISTED_AFTER / 4
+    requested_at = bench.now + LATER
+    bench.now = requested_at - LISTED_AFTER / 4
     for number in range(4):
         bench.register(facts(f"new-{number}"))
     fleet = list(bench.shard.ledger.executors.values())
-    assert losses(fleet, listing("i-2", "i-3", down=("i-1",)), asked).ended == [executors[0]]
+    assert find_lost_executors(
+        fleet, listing("i-2", "i-3", down=("i-1",)), requested_at
+    ).terminated == [executors[0]]
 
 
 def test_executors_that_have_just_come_do_not_speak_for_a_list() -> None:
@@ -120,22 +143,28 @@
     outvote them."""
     bench, executors = bench_of("i-1", "i-2", "i-3", "i-4")
     executors[0].silent_since = bench.now
-    asked = bench.now + LATER
-    bench.now = asked - LISTED_AFTER / 4
+    requested_at = bench.now + LATER
+    bench.now = requested_at - LISTED_AFTER / 4
     names = [f"new-{number}" for number in range(9)]
     for name in names:
         bench.register(facts(name))
     fleet = list(bench.shard.ledger.executors.values())
-    assert losses(fleet, listing("i-2", *names, down=("i-1",)), asked) == Losses()
+    assert (
+        find_lost_executors(fleet, listing("i-2", *names, down=("i-1",)), requested_at)
+        == LostExecutors()
+    )
 
 
 def test_where_all_have_just_come_they_speak_for_and_against_a_list() -> None:
     """An owner in its first seconds knows no executor in touch for longer."""
     bench, executors = bench_of("i-1", "i-2", "i-3")
     executors[0].silent_since = bench.now
-    asked = bench.now + LATER
+    requested_at = bench.now + LATER
     for executor in executors[1:]:
-        executor.known_since = asked - LISTED_AFTER / 4
-    assert losses(executors, listing("i-2", down=("i-1",)), asked) == Losses()
+        executor.known_since = requested_at - LISTED_AFTER / 4
+    assert (
+        find_lost_executors(executors, listing("i-2", down=("i-1",)), requested_at)
+        == LostExecutors()
+    )
     listed = listing("i-2", "i-3", down=("i-1",))
-    assert losses(executors, listed, asked).ended == [executors[0]]
+    assert find_lost_executors(executors, listed, requested_at).terminated == [executors[0]]
--- a/vanillawell/tests/orphan_claims_tests.py
+++ b/vanillawell/tests/orphan_claims_tests.py
@@ -10,7 +10,7 @@
 from vanillawell.exceptions import StoreOutcomeUnknownError
 from vanillawell.protocol.claim_documents import Claim
 from vanillawell.protocol.store import KeyValue, Transaction, TransactionResult
-from vanillawell.tests.fakes import RacyStore
+from vanillawell.tests.fakes import FaultyStore
 
 KEY = "/t/claim/guild/k"
 
@@ -19,7 +19,7 @@
 CLAIM = Claim("entry-1/a", "token", FINGERPRINT)
 
 
-class StoreWithTrap(RacyStore):
+class StoreWithTrap(FaultyStore):
     """A store that lets the caller try again while a deletion is on its way."""
 
     def __init__(self) -> None:
--- a/vanillawell/tests/planner_tests.py
+++ b/vanillawell/tests/planner_tests.py
@@ -14,7 +14,7 @@
 from vanillawell.state.pools import Assignment, Phase, Placement
 from vanillawell.telemetry import Telemetry
 from vanillawell.tests.builders import presence, store_settings, timing
-from vanillawell.tests.fakes import RacyStore
+from vanillawell.tests.fakes import FaultyStore
 from vanillawell.transport.admin_client import AdminAccess
 
 if TYPE_CHECKING:
@@ -31,7 +31,7 @@
         self.lease = 7
 
 
-def planner_of(store: RacyStore, name: str) -> tuple[Planner, AssignmentFollower]:
+def planner_of(store: FaultyStore, name: str) -> tuple[Planner, AssignmentFollower]:
     member: Any = LeasedMember(presence(name))
     anything: Any = None
     plain: Any = store
@@ -61,7 +61,7 @@
     If its write went through, both would have an instance of the same pool away, and the pool
     could fall below its budget.
     """
-    store = RacyStore()
+    store = FaultyStore()
     first, first_follower = planner_of(store, "entry-1")
     second, second_follower = planner_of(store, "entry-2")
 
@@ -81,7 +81,7 @@
 
 def test_a_step_checked_against_an_older_assignment_is_not_written() -> None:
     """An operator starts a move between a planner's check and its write."""
-    store = RacyStore()
+    store = FaultyStore()
     planner, follower = planner_of(store, "entry-1")
 
     async def play() -> None:
@@ -96,7 +96,7 @@
 
 
 def test_only_one_of_two_planners_gets_the_role() -> None:
-    store = RacyStore()
+    store = FaultyStore()
     first, _ = planner_of(store, "entry-1")
     second, _ = planner_of(store, "entry-2")
 
--- a/vanillawell/tests/pool_sizing_tests.py
+++ b/vanillawell/tests/pool_sizing_tests.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from vanillawell.state.pool_sizing import PoolDemand, PoolSizer, lasting_floor
+from vanillawell.state.pool_sizing import PoolDemand, PoolSizer, min_long_running_machines
 from vanillawell.state.work import JobRecord
 from vanillawell.tests.scheduling_builders import job, step
 
@@ -58,7 +58,7 @@
 def test_a_pool_keeps_just_the_places_that_its_lasting_tasks_need() -> None:
     lasting = JobRecord(job(step(5, long_running=True, most_per_executor=1)), 0.0)
     plain = JobRecord(job(step(20)), 0.0)
-    assert lasting_floor([*lasting.open(0), *plain.open(0)]) == 5
+    assert min_long_running_machines([*lasting.open(0), *plain.open(0)]) == 5
 
 
 def test_rotating_peaks_are_met_with_few_moves() -> None:
--- a/vanillawell/tests/state_tests.py
+++ b/vanillawell/tests/state_tests.py
@@ -10,21 +10,21 @@
 
 from vanillawell.protocol.verdict import Verdict
 from vanillawell.state.admission import QueueState, admit, worth_starting
-from vanillawell.state.allotment import (
+from vanillawell.state.burn import BurnCounters, burn_rate
+from vanillawell.state.charges import ChargeCounter
+from vanillawell.state.health import MINIMUM_SAMPLE, PoolHealth
+from vanillawell.state.limits import Demand, Ledger, LimitChange, plan_ledger, usable_units
+from vanillawell.state.queueing import FairQueue, SlotUse, WaitingRequest
+from vanillawell.state.response_times import LEAST_OVERDUE, ServiceTime
+from vanillawell.state.retries import FailedAttempt, Failure, RetryBudget, RetryDecision, decide
+from vanillawell.state.routing import connection_bound, subset
+from vanillawell.state.slot_allocation import (
     PoolDemand,
     executor_quotas,
     fair_slots,
     round_parts,
     source_targets,
 )
-from vanillawell.state.burn import BurnBook, burn_rate
-from vanillawell.state.charges import ChargeBook
-from vanillawell.state.health import MINIMUM_SAMPLE, PoolHealth
-from vanillawell.state.limits import Demand, Ledger, LimitChange, plan_ledger, usable_units
-from vanillawell.state.queueing import FairQueue, SlotUse, Waiting
-from vanillawell.state.retries import FailedAttempt, Failure, RetryBudget, RetryDecision, decide
-from vanillawell.state.routing import connection_bound, subset
-from vanillawell.state.silence import LEAST_OVERDUE, ServiceTime
 from vanillawell.tests.builders import organisation_limit
 
 ORGANISATIONS = st.sampled_from(["a", "b", "c", "d"])
@@ -99,7 +99,7 @@
     """
     ledger = Ledger(limit=8, version=1, holders=dict.fromkeys("abcd", 2))
     organisation = organisation_limit(8, entries=6)
-    plan = plan_ledger(ledger, "a", organisation, Demand(2, 1, 2, elsewhere=10), set())
+    plan = plan_ledger(ledger, "a", organisation, Demand(2, 1, 2, needed_elsewhere=10), set())
     assert plan is not None
     assert plan.holders["a"] == 1
 
@@ -111,15 +111,15 @@
     idle = plan_ledger(ledger, "a", organisation, Demand(0, 0, 0), set())
     assert idle is not None
     assert idle.holders["a"] == 4
-    asked = plan_ledger(idle, "a", organisation, Demand(0, 0, 0, elsewhere=11), set())
+    asked = plan_ledger(idle, "a", organisation, Demand(0, 0, 0, needed_elsewhere=11), set())
     assert asked is not None
     assert asked.holders["a"] == 1
 
 
 def test_urgent_work_goes_ahead_of_work_that_may_wait() -> None:
     queue = FairQueue()
-    queue.add(Waiting("a", urgent=False, arrived=0.0, deadline=9.0))
-    urgent = Waiting("b", urgent=True, arrived=1.0, deadline=9.0)
+    queue.add(WaitingRequest("a", urgent=False, arrived=0.0, deadline=9.0))
+    urgent = WaitingRequest("b", urgent=True, arrived=1.0, deadline=9.0)
     queue.add(urgent)
     assert (
         queue.pick(lambda _: True, lambda item: {"a": 0.0, "b": 50.0}[item.organisation]) is urgent
@@ -129,7 +129,7 @@
 def test_the_organisation_that_used_least_of_its_share_is_next() -> None:
     queue = FairQueue()
     for organisation in ("a", "b"):
-        queue.add(Waiting(organisation, urgent=True, arrived=0.0, deadline=9.0))
+        queue.add(WaitingRequest(organisation, urgent=True, arrived=0.0, deadline=9.0))
     picked = queue.pick(lambda _: True, lambda item: {"a": 3.0, "b": 1.0}[item.organisation])
     assert picked is not None
     assert picked.organisation == "b"
@@ -158,16 +158,16 @@
 
 
 def test_a_request_starts_late_only_if_nobody_of_its_organisation_waits() -> None:
-    assert not worth_starting(0.5, usual_least=1.0, others_wait=True)
-    assert worth_starting(0.5, usual_least=1.0, others_wait=False)
-    assert worth_starting(0.5, usual_least=0.0, others_wait=True)
+    assert not worth_starting(0.5, typical_minimum=1.0, others_wait=True)
+    assert worth_starting(0.5, typical_minimum=1.0, others_wait=False)
+    assert worth_starting(0.5, typical_minimum=0.0, others_wait=True)
 
 
 def test_retries_never_exceed_their_budget() -> None:
     budget = RetryBudget(0.1)
     failed = FailedAttempt(Failure.NOT_SENT, False, 1, 1.0)
     for _ in range(100):
-        budget.note_first_attempt()
+        budget.record_first_attempt()
     allowed = sum(decide(failed, 3, budget) is RetryDecision.RETRY for _ in range(100))
     assert allowed <= 20
 
@@ -189,12 +189,12 @@
 def test_an_executor_that_stands_out_is_left_out_and_readmitted_by_a_probe() -> None:
     health = PoolHealth(0.5, 0.5)
     for _ in range(MINIMUM_SAMPLE):
-        health.note_success("good")
-        health.note_failure("bad", 0.0, 4, sent=True)
+        health.record_success("good")
+        health.record_failure("bad", 0.0, 4, sent=True)
     assert not health.of("bad").available(1.0)
-    health.note_start("bad", 10.0)
+    health.record_start("bad", 10.0)
     assert not health.of("bad").available(10.0), "one probe at a time"
-    health.note_success("bad")
+    health.record_success("bad")
     assert health.of("bad").available(10.1)
 
 
@@ -202,7 +202,7 @@
     """Jobs that can never run fail on every executor they are tried on."""
     health = PoolHealth(0.5, 1.0)
     for number in range(60):
-        health.note_failure(f"x{number % 6}", 0.0, 6, sent=True)
+        health.record_failure(f"x{number % 6}", 0.0, 6, sent=True)
     assert all(health.of(f"x{number}").available(0.0) for number in range(6))
 
 
@@ -222,7 +222,7 @@
 
 
 def test_burn_counts_what_the_service_is_to_blame_for() -> None:
-    book = BurnBook()
+    book = BurnCounters()
     for status in (200, 200, 200, 503, 401, 422):
         book.note("check", "guild", status, True, 0.0)
     book.note("check", "guild", 200, False, 400.0)
@@ -233,7 +233,7 @@
 
 
 def test_a_lingering_charge_is_freed_when_it_is_due() -> None:
-    book = ChargeBook()
+    book = ChargeCounter()
     book.charge("a")
     book.release_later("a", 5.0)
     assert book.release_due(4.9) == set()
--- a/vanillawell/tests/turning_load.py
+++ b/vanillawell/tests/turning_load.py
@@ -19,7 +19,7 @@
     PoolDemand,
     PoolSizer,
     demanded_cores,
-    lasting_floor,
+    min_long_running_machines,
 )
 from vanillawell.state.work import Job, JobState, Resources, Step, StepProgress
 from vanillawell.state.work_policy import Queue, Service
@@ -239,7 +239,9 @@
             step for step in shard.board.open_steps if f"p{step.record.job.queue[1:]}" == pool
         ]
         wanted = max(demanded_cores(own, steps, shard.durations), shard.arrivals.cores(pool, now))
-        return PoolDemand(pool, len(own) + arriving, CORES, wanted, lasting_floor(steps))
+        return PoolDemand(
+            pool, len(own) + arriving, CORES, wanted, min_long_running_machines(steps)
+        )
 
 
 def _queues() -> dict[str, Queue]:
--- a/vanillawell/tests/upkeep_tests.py
+++ b/vanillawell/tests/upkeep_tests.py
@@ -4,15 +4,15 @@
 
 from typing import TYPE_CHECKING
 
-from vanillawell.state.availability import expect_loss, may_lose_all
+from vanillawell.state.availability import mark_runs_away, may_interrupt_all
 from vanillawell.state.upkeep import (
-    UNKNOWN_LIFE,
+    UNKNOWN_INCARNATION,
     Wave,
     WaveProgress,
-    is_empty_enough,
-    life_of,
-    to_close,
-    to_stop,
+    incarnation_id,
+    machines_to_close,
+    may_begin_upkeep,
+    runs_to_move,
 )
 from vanillawell.tests.scheduling_builders import Bench, facts, job, step
 
@@ -21,7 +21,7 @@
 
 
 def _progress(*machines: str, most_away: int = 1) -> WaveProgress:
-    return WaveProgress(Wave(1, machines, 20.0, most_away), seen=0.0)
+    return WaveProgress(Wave(1, machines, 20.0, most_away), first_seen=0.0)
 
 
 def _anywhere(run: Run) -> bool:
@@ -32,21 +32,21 @@
     """A machine is being moved when its upkeep is ordered; its new executor shows up a moment
     later. If that counted as the end of the upkeep, one machine too many would be taken down."""
     progress = _progress("m-1")
-    progress.away["m-1"], progress.ordered["m-1"] = UNKNOWN_LIFE, 10.0
-    progress.returned({"m-1": "i-1@5"}, {"m-1"}, listed=9.8)
+    progress.away["m-1"], progress.ordered["m-1"] = UNKNOWN_INCARNATION, 10.0
+    progress.release_returned({"m-1": "i-1@5"}, {"m-1"}, listed=9.8)
     assert progress.away
-    progress.returned({"m-1": "i-1@5"}, set(), listed=10.5)
+    progress.release_returned({"m-1": "i-1@5"}, set(), listed=10.5)
     assert progress.away
-    progress.returned({"m-1": "i-2@9"}, {"m-1"}, listed=12.5)
+    progress.release_returned({"m-1": "i-2@9"}, {"m-1"}, listed=12.5)
     assert not progress.away
 
 
 def test_a_machine_whose_old_executor_is_still_listed_is_not_back() -> None:
     progress = _progress("m-1")
     progress.away["m-1"], progress.ordered["m-1"] = "i-1@5", 10.0
-    progress.returned({"m-1": "i-1@5"}, {"m-1"}, listed=12.0)
+    progress.release_returned({"m-1": "i-1@5"}, {"m-1"}, listed=12.0)
     assert progress.away
-    progress.returned({"m-1": "i-2@9"}, {"m-1"}, listed=12.5)
+    progress.release_returned({"m-1": "i-2@9"}, {"m-1"}, listed=12.5)
     assert not progress.away
 
 
@@ -57,11 +57,11 @@
     for name in progress.wave.machines:
         progress.away[name], progress.ordered[name] = "i-1@5", 10.0
     progress.confirmed.add("m-1")
-    progress.returned({}, {"m-1", "m-2"}, listed=9.9)
-    progress.returned({}, {"m-1", "m-2"}, listed=10.5)
-    progress.returned({}, {"m-2"}, listed=12.5)
+    progress.release_returned({}, {"m-1", "m-2"}, listed=9.9)
+    progress.release_returned({}, {"m-1", "m-2"}, listed=10.5)
+    progress.release_returned({}, {"m-2"}, listed=12.5)
     assert progress.away.keys() == {"m-1", "m-2"}
-    progress.returned({}, {"m-1", "m-2"}, listed=12.5)
+    progress.release_returned({}, {"m-1", "m-2"}, listed=12.5)
     assert progress.away.keys() == {"m-2"}, "the order for m-2 may still be carried out"
 
 
@@ -70,7 +70,7 @@
     bench.admit(job(step(1)))
     bench.place()
     machines = bench.shard.ledger.by_machine()
-    chosen = to_close(_progress(*machines, most_away=3), machines, 0.0)
+    chosen = machines_to_close(_progress(*machines, most_away=3), machines, 0.0)
     assert len(chosen) == 2
     idle = next(name for name in ("m-i-0", "m-i-1") if not machines[name].runs)
     assert set(chosen) == {idle, "m-i-2"}
@@ -82,11 +82,11 @@
     bench = Bench(*(facts(f"i-{number}") for number in range(60)))
     machines = bench.shard.ledger.by_machine()
     progress = _progress(*list(machines)[:30], most_away=20)
-    progress.closed = dict.fromkeys(to_close(progress, machines, 0.0), 0.0)
+    progress.closed = dict.fromkeys(machines_to_close(progress, machines, 0.0), 0.0)
     assert len(progress.closed) == 6
-    assert to_close(progress, machines, 0.0) == []
+    assert machines_to_close(progress, machines, 0.0) == []
     progress.closed.popitem()
-    assert len(to_close(progress, machines, 0.0)) == 1
+    assert len(machines_to_close(progress, machines, 0.0)) == 1
 
 
 def test_machines_with_lasting_tasks_are_begun_with_at_once() -> None:
@@ -96,7 +96,7 @@
     bench.admit(job(step(1, long_running=True)))
     (run,) = bench.place()
     machines = bench.shard.ledger.by_machine()
-    chosen = to_close(_progress(*machines, most_away=3), machines, now=0.0)
+    chosen = machines_to_close(_progress(*machines, most_away=3), machines, now=0.0)
     assert len(chosen) == 2
     assert f"m-{run.executor}" in chosen
 
@@ -109,7 +109,7 @@
         bench.admit(job(step(5, cpu=8_000, long_running=True, most_away=1, most_per_executor=1)))
     bench.place()
     machines = bench.shard.ledger.by_machine()
-    assert len(to_close(_progress(*machines, most_away=20), machines, now=-20.0)) == 5
+    assert len(machines_to_close(_progress(*machines, most_away=20), machines, now=-20.0)) == 5
 
 
 def test_a_wave_that_is_behind_has_more_machines_emptied_at_a_time() -> None:
@@ -118,9 +118,9 @@
     bench = Bench(*(facts(f"i-{number}") for number in range(12)))
     machines = bench.shard.ledger.by_machine()
     progress = _progress(*list(machines)[:6], most_away=10)
-    assert len(to_close(progress, machines, now=0.0)) == 2
-    assert len(to_close(progress, machines, now=11.0)) == 5
-    assert len(to_close(progress, machines, now=16.0)) == 6
+    assert len(machines_to_close(progress, machines, now=0.0)) == 2
+    assert len(machines_to_close(progress, machines, now=11.0)) == 5
+    assert len(machines_to_close(progress, machines, now=16.0)) == 6
 
 
 def test_a_lasting_task_moves_to_a_machine_that_a_wave_is_done_with() -> None:
@@ -139,10 +139,10 @@
     first, second = bench.place()
     first.at_work = True
     executor = bench.shard.ledger.executors[first.executor]
-    assert to_stop(executor, _anywhere) == []
+    assert runs_to_move(executor, _anywhere) == []
     second.at_work = True
-    assert to_stop(executor, _anywhere) == [first]
-    assert life_of(executor).startswith(executor.name)
+    assert runs_to_move(executor, _anywhere) == [first]
+    assert incarnation_id(executor).startswith(executor.name)
 
 
 def test_lasting_tasks_that_were_not_reported_yet_are_not_taken_away_together() -> None:
@@ -153,8 +153,8 @@
     bench.admit(job(step(2, long_running=True, most_away=1, most_per_executor=1)))
     first, second = bench.place()
     executors = bench.shard.ledger.executors
-    assert to_stop(executors[first.executor], _anywhere) == []
-    assert to_stop(executors[second.executor], _anywhere) == []
+    assert runs_to_move(executors[first.executor], _anywhere) == []
+    assert runs_to_move(executors[second.executor], _anywhere) == []
 
 
 def test_a_machine_with_two_tasks_of_a_step_is_not_taken_down_if_one_may_be_away() -> None:
@@ -165,7 +165,7 @@
     for run in bench.place():
         run.at_work = True
     (executor,) = bench.shard.ledger.executors.values()
-    assert not is_empty_enough(executor, since=0.0, hurried=True, now=bench.now)
+    assert not may_begin_upkeep(executor, since=0.0, past_wait_deadline=True, now=bench.now)
 
 
 def test_a_second_order_counts_on_what_the_first_will_end() -> None:
@@ -176,9 +176,9 @@
     for run in bench.place():
         run.at_work = True
     first, second = bench.shard.ledger.executors.values()
-    assert may_lose_all(first) and may_lose_all(second)
-    expect_loss(first)
-    assert not may_lose_all(second)
+    assert may_interrupt_all(first) and may_interrupt_all(second)
+    mark_runs_away(first)
+    assert not may_interrupt_all(second)
 
 
 def test_a_lasting_task_stays_at_work_until_another_machine_has_a_place() -> None:
@@ -193,9 +193,9 @@
     def has_place(run: Run) -> bool:
         return bench.shard.has_place(run, bench.now)
 
-    assert to_stop(executor, has_place) == []
+    assert runs_to_move(executor, has_place) == []
     bench.register(facts("i-2"))
-    assert to_stop(executor, has_place) == [first]
+    assert runs_to_move(executor, has_place) == [first]
 
 
 def test_a_machine_whose_order_is_in_doubt_keeps_its_place_until_it_is_repeated() -> None:
@@ -203,12 +203,12 @@
     never went out. Its place must not go to another machine, since the order will be repeated, and
     one more than allowed would be away."""
     progress = _progress("m-1", "m-2")
-    progress.decided, progress.away = {"m-1"}, {"m-1": UNKNOWN_LIFE}
-    progress.returned({"m-1": "i-1@1"}, {"m-1", "m-2"}, listed=50.0)
+    progress.decided, progress.away = {"m-1"}, {"m-1": UNKNOWN_INCARNATION}
+    progress.release_returned({"m-1": "i-1@1"}, {"m-1", "m-2"}, listed=50.0)
     assert set(progress.away) == {"m-1"}
     progress.confirmed.add("m-1")
     progress.ordered["m-1"] = 50.0
-    progress.returned({"m-1": "i-1@1"}, {"m-1", "m-2"}, listed=50.1)
+    progress.release_returned({"m-1": "i-1@1"}, {"m-1", "m-2"}, listed=50.1)
     assert set(progress.away) == {"m-1"}
-    progress.returned({"m-1": "i-1@2"}, {"m-1", "m-2"}, listed=53.0)
+    progress.release_returned({"m-1": "i-1@2"}, {"m-1", "m-2"}, listed=53.0)
     assert not progress.away
--- a/vanillawell/transport/admin.py
+++ b/vanillawell/transport/admin.py
@@ -18,7 +18,7 @@
     from vanillawell.coordination.dispatch import Dispatcher
     from vanillawell.coordination.limit_keeper import LimitKeeper
     from vanillawell.coordination.membership import Membership
-    from vanillawell.state.burn import BurnBook
+    from vanillawell.state.burn import BurnCounters
     from vanillawell.telemetry import Telemetry
     from vanillawell.transport.asgi import Receive, Scope, Send
 
@@ -84,7 +84,7 @@
         dispatcher: Dispatcher,
         limits: LimitKeeper,
         telemetry: Telemetry,
-        burn: BurnBook,
+        burn: BurnCounters,
         store_calls: Callable[[], int],
         token: str,
     ) -> None:
--- a/vanillawell/transport/backend.py
+++ b/vanillawell/transport/backend.py
@@ -125,7 +125,7 @@
         try:
             await self._stream(forward, attempt, longest, deliver, watcher)
         except (httpcore.NetworkError, httpcore.TimeoutException, httpcore.ProtocolError) as error:
-            failure = Failure.NO_WHOLE_ANSWER if watcher.sent else Failure.NOT_SENT
+            failure = Failure.INCOMPLETE_RESPONSE if watcher.sent else Failure.NOT_SENT
             raise AttemptError(failure, type(error).__name__) from error
         except TooLateToSendError as error:
             raise AttemptError(Failure.TOO_LATE, "too late to send") from error
--- a/vanillawell/transport/caller.py
+++ b/vanillawell/transport/caller.py
@@ -28,7 +28,7 @@
     from vanillawell.coordination.claims import ClaimDesk
     from vanillawell.coordination.configuration import ConfigurationFollower
     from vanillawell.coordination.dispatch import Dispatcher
-    from vanillawell.state.burn import BurnBook
+    from vanillawell.state.burn import BurnCounters
     from vanillawell.state.policy import OrganisationPolicy, Policy, PoolPolicy
     from vanillawell.telemetry import Telemetry
     from vanillawell.transport.asgi import Receive, Scope, Send
@@ -83,7 +83,7 @@
         dispatcher: Dispatcher,
         claims: ClaimDesk,
         telemetry: Telemetry,
-        burn: BurnBook,
+        burn: BurnCounters,
         prefix: str,
     ) -> None:
         self._configuration = configuration
