--- a/vanillawell/state/availability.py
+++ b/vanillawell/state/availability.py
@@ -1,7 +1,7 @@
-"""Answer one question for all planned work: may it end tasks that last, now?
+"""Decide whether planned work may interrupt long-running tasks now.
 
-Moves, upkeep and drains end tasks; steps say how many of their tasks may be away at once. Whatever
-ends a lasting task on purpose asks here, at the moment at which its order goes out.
+Moves, upkeep and drains stop tasks, while a step limits how many of its tasks may be away at once.
+All planned interruptions of long-running tasks are checked here, at the time their order is sent.
 """
 
 from __future__ import annotations
@@ -13,53 +13,54 @@
     from vanillawell.state.work import Run, StepProgress
 
 
-def others_away(step: StepProgress, run: Run) -> int:
-    """Return how many other tasks of a step are not at work."""
+def count_others_away(step: StepProgress, run: Run) -> int:
+    """Return how many other tasks of a step are away."""
     return sum(
-        task.run is None or not is_working(task.run) for task in step.tasks if task.run is not run
+        task.run is None or not is_running(task.run) for task in step.tasks if task.run is not run
     )
 
 
-def is_working(run: Run) -> bool:
-    """Tell whether a long-running task is at work, as last reported, and may go on."""
+def is_running(run: Run) -> bool:
+    """Return whether a long-running task was last reported as running and is not being stopped."""
     return run.at_work and not run.stop_wanted
 
 
 def may_interrupt(run: Run) -> bool:
-    """Tell whether planned work may end this run now.
+    """Return whether planned work may interrupt this run now.
 
-    A step says how many of its tasks may be away at once. Tasks that are away for any other cause
-    count too: they would be missing all the same. That the run itself was not at work when its
-    executor last reported allows nothing: after a change of owner nothing has been reported yet,
-    and between two reports a task may have got to work. A new owner that took it for granted
-    stopped two tasks of a step of which one might be away.
+    A step limits how many of its tasks may be away at once. Tasks that are away for any other
+    reason count too. A run whose last report did not show it at work gets no exemption: after a
+    change of owner nothing has been reported yet, and a task may have started its work between two
+    reports. With such an exemption, a new owner stopped two tasks of a step of which one may be
+    away.
     """
     bound = run.task.step.spec.most_away
-    return not bound or others_away(run.task.step, run) < bound
+    return not bound or count_others_away(run.task.step, run) < bound
 
 
 def has_long_running(executor: Executor) -> bool:
-    """Tell whether a long-running task is charged to an executor."""
+    """Return whether a long-running task is charged to an executor."""
     return any(run.task.step.spec.long_running for run in executor.runs.values())
 
 
 def may_interrupt_all(executor: Executor) -> bool:
-    """Tell whether planned work may end everything on an executor at once."""
-    lasting = [run for run in executor.runs.values() if run.task.step.spec.long_running]
-    for step in {run.task.step for run in lasting}:
-        here = [run for run in lasting if run.task.step is step]
+    """Return whether planned work may interrupt everything on an executor at once."""
+    long_running = [run for run in executor.runs.values() if run.task.step.spec.long_running]
+    for step in {run.task.step for run in long_running}:
+        here = [run for run in long_running if run.task.step is step]
         bound = step.spec.most_away
-        elsewhere = others_away(step, here[0]) - sum(not is_working(run) for run in here[1:])
+        elsewhere = count_others_away(step, here[0]) - sum(not is_running(run) for run in here[1:])
         if bound and elsewhere + len(here) > bound:
             return False
     return True
 
 
 def mark_runs_away(executor: Executor) -> None:
-    """Count all on an executor as away, since an order that ends it is about to go out.
+    """Mark all runs on an executor as away because an order that ends it is about to be sent.
 
-    Orders go out side by side. Counted only once the first is answered, two tasks of a step of
-    which one may be away would end together. A report tells what is at work after all.
+    Orders are sent concurrently. If runs were marked only when the order is answered, two tasks of
+    a step of which one may be away could be interrupted together. The next report restores the
+    actual state.
     """
     for run in executor.runs.values():
         run.at_work = False
--- a/vanillawell/state/draining.py
+++ b/vanillawell/state/draining.py
@@ -1,10 +1,11 @@
-"""Decide when lasting tasks leave an executor that said that it ends.
-
-While time remains they are moved like tasks off machines that are due for upkeep: only where
-another executor has a place, and within what their step lets be away at once. What would be lost
-with the executor anyway is stopped shortly before: a task that was stopped has a certain end and
-can begin elsewhere at once, while a lost one is waited for until its lease is surely over. That
-goes for tasks that end by themselves, too, if they save their progress and surely need longer.
+"""Decide when tasks are stopped on an executor that has announced its shutdown.
+
+While time remains, long-running tasks are moved as they are off machines that are due for upkeep:
+only if another executor can take them, and within the number of tasks that their step allows to be
+away at once. Tasks that would be lost with the executor are stopped shortly before it ends. A
+stopped task has a confirmed end and can start elsewhere at once, whereas a lost one can only be
+restarted after its lease has expired. The same applies to tasks of limited duration that save their
+progress and cannot finish before the executor ends.
 """
 
 from __future__ import annotations
@@ -19,66 +20,69 @@
     from vanillawell.state.executors import Executor
     from vanillawell.state.work import Run
 
-REPORTING = 0.5
-"""Seconds from a decision to stop until the end is known, beside the stop itself: a look, an order
-that may have to be repeated once, and a report."""
+STOP_CONFIRMATION_TIME = 0.5
+"""Seconds from a decision to stop until the end is confirmed, not counting the stop itself: one
+poll interval, an order that may have to be repeated once, and a report."""
 
 
-OVERTIME = 0.5
-"""Seconds for which executors often go on beyond the time they named; some stay much longer, but a
-task with a checkpoint loses little by a needless stop."""
+TYPICAL_OVERRUN = 0.5
+"""Seconds for which executors often continue beyond the time they announced. Some continue much
+longer, but a task with a checkpoint loses little by a needless stop."""
 
-COMPLETE = 100
-"""Percentage at which a task has done its work and is about to end."""
+COMPLETE_PERCENT = 100
+"""Progress in per cent of a task that has finished its work and is about to end."""
 
 
 def draining_executors(executors: Iterable[Executor]) -> list[Executor]:
-    """Return the executors that said that they end, in the same order for each owner."""
-    found = [item for item in executors if item.registered and item.leaves_after is not None]
-    return sorted(found, key=lambda item: item.name)
+    """Return the executors that have announced their shutdown, in the same order for each owner."""
+    draining = [item for item in executors if item.registered and item.leaves_after is not None]
+    return sorted(draining, key=lambda item: item.name)
 
 
 def time_left(executor: Executor, now: float) -> float:
-    """Return the least seconds for which an executor that leaves goes on."""
+    """Return the minimum number of seconds for which a draining executor continues to run."""
     return max(0.0, (executor.leaves_after or 0.0) - now)
 
 
 def stop_deadline_reached(executor: Executor, kill_grace: float, now: float) -> bool:
-    """Tell whether stops must go out now for their ends to be known before an executor leaves."""
-    return time_left(executor, now) <= kill_grace + REPORTING
+    """Return whether stop orders must go out now to be confirmed before the executor ends."""
+    return time_left(executor, now) <= kill_grace + STOP_CONFIRMATION_TIME
 
 
 def long_running_runs(executor: Executor) -> list[Run]:
-    """Return the long-running tasks that are charged to an executor."""
+    """Return the runs of long-running tasks that are charged to an executor."""
     return [run for run in executor.runs.values() if run.task.step.spec.long_running]
 
 
-def least_rest(run: Run, now: float) -> float:
-    """Return the least seconds that a task still takes, going by the progress shown so far.
+def min_remaining_time(run: Run, now: float) -> float:
+    """Return the minimum number of seconds until a task ends, extrapolated from its progress.
 
-    Progress is told in whole per cent, so a task may have come one further than it seems. What it
-    had done when it was first reported may be the work of earlier runs, or of a former term.
+    Progress is reported in whole per cent, so the real value may be up to one per cent higher. The
+    progress in the first report is not used as a rate: it may be the work of earlier runs, or of
+    the time before this owner took over.
     """
     if run.reported is None or run.progressed is None or run.progressed <= run.reported:
         return 0.0
-    most_a_second = (run.percent - run.percent_at_first + 1) / (run.progressed - run.reported)
-    return (COMPLETE - run.percent) / most_a_second - (now - run.progressed)
+    max_rate = (run.percent - run.percent_at_first + 1) / (run.progressed - run.reported)
+    return (COMPLETE_PERCENT - run.percent) / max_rate - (now - run.progressed)
 
 
-def _outlasts(run: Run, executor: Executor, now: float) -> bool:
-    """Tell whether a task surely needs longer than its executor goes on, and saves what it did."""
+def _cannot_end_in_time(run: Run, executor: Executor, now: float) -> bool:
+    """Return whether a task saves its progress and cannot end before its executor does."""
     spec = run.task.step.spec
     if spec.long_running or not spec.saves_progress:
         return False
-    return least_rest(run, now) > time_left(executor, now) + OVERTIME
+    return min_remaining_time(run, now) > time_left(executor, now) + TYPICAL_OVERRUN
 
 
 def runs_to_stop(
     executor: Executor, has_place: Callable[[Run], bool], kill_grace: float, now: float
 ) -> list[Run]:
-    """Return the runs on an executor that leaves that have to be stopped now."""
+    """Return the runs that must be stopped now on a draining executor."""
     if not stop_deadline_reached(executor, kill_grace, now):
         return runs_to_move(executor, has_place)
-    lost = long_running_runs(executor)
-    lost += [run for run in executor.runs.values() if _outlasts(run, executor, now)]
-    return [run for run in lost if not run.stop_wanted]
+    expected_losses = long_running_runs(executor)
+    expected_losses += [
+        run for run in executor.runs.values() if _cannot_end_in_time(run, executor, now)
+    ]
+    return [run for run in expected_losses if not run.stop_wanted]
--- a/vanillawell/state/lost_executors.py
+++ b/vanillawell/state/lost_executors.py
@@ -1,8 +1,9 @@
-"""Tell by the list of machines which executors out of touch have ended for certain.
+"""Detect executors that have certainly ended, by the platform's list of machines.
 
-An executor that answers nothing may run on behind a broken path, so its tasks wait for its leases.
-The list of machines comes by another path, from the service that owns them: an executor that lives
-on no machine that is up runs nothing any more.
+An executor that does not answer may still be running behind a broken network path, so its tasks are
+restarted only after its leases have expired. The list of machines arrives by another path, from the
+service that manages the machines. An executor that is on no machine that is up does not run
+anything any more.
 """
 
 from __future__ import annotations
@@ -15,62 +16,64 @@
 
     from vanillawell.state.executors import Executor
 
-LISTED_AFTER = 2.0
-"""Seconds after which an executor that lives is on the list, which may be behind."""
+MAX_LIST_LAG = 2.0
+"""Seconds after which a running executor is certainly listed; the list may lag behind."""
 
-BELIEVED_FROM = 0.75
-"""Part of the executors in touch that a list has to name to be believed of the others."""
+MIN_LISTED_PART = 0.75
+"""Part of the responding executors that a list must contain before it is used as evidence that
+others have ended."""
 
 
 @dataclass(slots=True)
 class LostExecutors:
-    """What one reading of the list says of executors in doubt."""
+    """Unresponsive executors that one version of the list shows to be lost."""
 
     terminated: list[Executor] = field(default_factory=list)
-    """Their machines are listed as not up, or with another executor."""
+    """Executors whose machines are listed as not up, or with another executor."""
 
     missing: list[Executor] = field(default_factory=list)
-    """They are on no machine of the list. Their machines may be gone, or the list incomplete."""
+    """Executors on no listed machine. Their machines may have been removed, or the list may be
+    incomplete."""
 
 
 def unresponsive_executors(executors: Iterable[Executor], now: float) -> list[Executor]:
-    """Return the executors out of touch that have work and that the list should name by now."""
+    """Return the unresponsive executors that have work and should be listed by now."""
     return [
         item
         for item in executors
-        if item.runs and item.is_out_of_touch and now > item.known_since + LISTED_AFTER
+        if item.runs and item.is_out_of_touch and now > item.known_since + MAX_LIST_LAG
     ]
 
 
 def find_lost_executors(
-    executors: Collection[Executor], carried: Mapping[str, str], requested_at: float
+    executors: Collection[Executor], executor_by_machine: Mapping[str, str], requested_at: float
 ) -> LostExecutors:
-    """Judge the executors in doubt by a list that was asked for at `requested_at`.
+    """Find the executors lost according to a list that was requested at `requested_at`.
 
-    `carried` holds the executor on each listed machine, empty for one that is not up.
+    `executor_by_machine` maps each listed machine to its executor, or to an empty string if the
+    machine is not up.
     """
-    living = set(carried.values())
+    running = set(executor_by_machine.values())
     found = LostExecutors()
-    if not is_list_credible(executors, living, requested_at):
+    if not is_list_credible(executors, running, requested_at):
         return found
     for executor in unresponsive_executors(executors, requested_at):
-        if executor.name in living:
+        if executor.name in running:
             continue
-        listed = executor.facts.machine in carried
+        listed = executor.facts.machine in executor_by_machine
         (found.terminated if listed else found.missing).append(executor)
     return found
 
 
 def is_list_credible(
-    executors: Iterable[Executor], living: Collection[str], requested_at: float
+    executors: Iterable[Executor], running: Collection[str], requested_at: float
 ) -> bool:
-    """Tell whether a list names most of the executors that do answer.
+    """Return whether a list contains most of the executors that are known to be up.
 
-    Those that have come since the list may have been made speak neither for nor against it, unless
-    there are no others.
+    Executors that may have started after the list was made are ignored, unless there are no others.
     """
-    in_touch = [item for item in executors if item.registered and not item.is_out_of_touch]
-    settled = [item for item in in_touch if requested_at > item.known_since + LISTED_AFTER]
-    witnesses = settled or in_touch
-    named = sum(item.name in living for item in witnesses)
-    return bool(named) and named >= BELIEVED_FROM * len(witnesses)
+    responding = [item for item in executors if item.registered and not item.is_out_of_touch]
+    long_tracked = [item for item in responding if requested_at > item.known_since + MAX_LIST_LAG]
+    confirmed = long_tracked or responding
+    listed_count = sum(item.name in running for item in confirmed)
+    return bool(listed_count) and listed_count >= MIN_LISTED_PART * len(confirmed)
--- a/vanillawell/state/upkeep.py
+++ b/vanillawell/state/upkeep.py
@@ -1,9 +1,9 @@
-"""Plan the upkeep of machines in waves without taking away more than may be away.
+"""Plan waves of machine upkeep within the limits on absent machines and tasks.
 
 The upkeep of a machine ends everything on it at once. So a machine is first closed to new tasks,
-its long-running tasks are moved one after the other as far as their steps allow, and the others
-are given time to end. The next machine is emptied while the present one is away: emptying takes
-about as long as the upkeep itself, and done one after the other waves would be late.
+its long-running tasks are moved one after the other as far as their steps allow, and the others are
+given time to end. The next machine is emptied while the present one is away: emptying takes about
+as long as the upkeep itself, so waves that did one after the other would be late.
 """
 
 from __future__ import annotations
@@ -21,38 +21,40 @@
     from vanillawell.state.executors import Executor
     from vanillawell.state.work import Run, StepProgress
 
-EMPTIED_AHEAD = 1
-"""Machines that are emptied beyond those that may be away; more would only take room away."""
+EXTRA_MACHINES_EMPTIED = 1
+"""Machines being emptied in addition to those that may be away. More would only reduce the free
+capacity."""
 
-EMPTIED_PART = 0.1
-"""Part of a service's machines that are emptied at a time, one at least."""
+MAX_EMPTIED_PART = 0.1
+"""Part of a service's machines that are emptied at a time; at least one."""
 
-EMPTIED_PART_LASTING = 0.25
-"""The same for machines that hold lasting tasks: these are moved one of a step at a time, and with
-few machines open to them most steps would have nobody to move."""
+MAX_EMPTIED_PART_LONG_RUNNING = 0.25
+"""The same for machines with long-running tasks. These are moved one of a step at a time, so with
+few machines being emptied most steps would have no task to move."""
 
-EMPTYING = 3.0
-"""Seconds that it takes to empty a machine, from closing it to its order."""
+EMPTYING_TIME = 3.0
+"""Seconds that it takes to empty a machine, from closing it to the order for its upkeep."""
 
 SHORT_TASK_TIMEOUT = 4.0
-"""Seconds for which tasks that end by themselves are waited for; longer ones are stopped."""
+"""Seconds granted to tasks of limited duration to end; longer ones are stopped."""
 
 LIST_LAG = 0.3
-"""Seconds by which a list must be younger than an order to show its effect; a first guess."""
+"""Seconds by which the list of machines must be younger than an order to show its effect; an
+estimate."""
 
 MIN_UPKEEP_DURATION = 1.7
-"""Seconds after which a machine may be back from upkeep; upkeeps are said to take 2 s."""
+"""Seconds after which a machine may be back from upkeep, which is specified to take 2 s."""
 
 UNKNOWN_INCARNATION = "unknown"
-"""Stands for the life of an executor on a machine where none was seen before its upkeep."""
+"""Placeholder for the incarnation on a machine where none was known before its upkeep."""
 
-HASTE = 0.75
-"""Part of a wave's time after which nothing is waited for any more."""
+WAIT_PART = 0.75
+"""Part of a wave's duration after which the upkeep no longer waits for tasks."""
 
 
 @dataclass(frozen=True, slots=True)
 class Wave:
-    """A request that each of these machines has its upkeep in time."""
+    """A request for the upkeep of a set of machines within a time limit."""
 
     number: int
     machines: tuple[str, ...]
@@ -65,86 +67,95 @@
 
 @dataclass(slots=True)
 class WaveProgress:
-    """How far a wave has come."""
+    """Progress of a wave."""
 
     wave: Wave
     first_seen: float
-    """Clock of decisions when it was first seen."""
+    """Time of the decision clock when the wave was first seen."""
 
     decided: set[str] = field(default_factory=set)
-    """Machines whose upkeep was decided; stored before the order goes out."""
+    """Machines whose upkeep was decided; stored before the order is sent."""
 
     confirmed: set[str] = field(default_factory=set)
-    """Machines whose upkeep has begun for certain, or that will never have one."""
+    """Machines whose upkeep is confirmed to have begun, or that will never have one."""
 
     away: dict[str, str] = field(default_factory=dict)
-    """Machines that are away, each with the life of the executor that it had before."""
+    """Machines that are away, with the incarnation of the executor that ran before the upkeep."""
 
     ordered: dict[str, float] = field(default_factory=dict)
-    """Clock of decisions at which the latest order for each machine went out."""
+    """Time of the decision clock at which the latest order for each machine was sent."""
 
     closed: dict[str, float] = field(default_factory=dict)
-    """Machines being emptied, each with the time at which that began."""
+    """Machines being emptied, with the time at which that began."""
 
     completed: bool = False
 
     def past_wait_deadline(self, now: float) -> bool:
-        """Tell whether so much time has passed that nothing is waited for any more."""
-        return self.unhurried_for(now) < 0
+        """Return whether the upkeep no longer waits for tasks to end or move."""
+        return self.wait_time_left(now) < 0
 
-    def unhurried_for(self, now: float) -> float:
-        """Return the seconds for which tasks may be waited for; negative once that is over."""
-        return self.first_seen + HASTE * self.wave.duration - now
+    def wait_time_left(self, now: float) -> float:
+        """Return the seconds for which the upkeep may still wait for tasks; may be negative."""
+        return self.first_seen + WAIT_PART * self.wave.duration - now
 
     @property
     def unconfirmed(self) -> set[str]:
-        """Return the machines whose order went out, or may have, and got no answer."""
+        """Return the machines whose order may have been sent but was not answered."""
         return self.decided - self.confirmed
 
-    def decide(self, machine: str, life: str) -> None:
-        """Note that the upkeep of a machine was decided; `life` is the executor's on it."""
+    def decide(self, machine: str, incarnation: str) -> None:
+        """Record the decision to begin the upkeep of a machine.
+
+        `incarnation` identifies the executor that runs on it.
+        """
         self.decided.add(machine)
-        self.away[machine] = life
+        self.away[machine] = incarnation
         self.closed.pop(machine, None)
 
     def release_returned(
-        self, lives: Mapping[str, str], up: Collection[str], listed: float
+        self, incarnations: Mapping[str, str], up: Collection[str], listed_at: float
     ) -> None:
-        """Free the places of machines that are back.
-
-        `lives` tells which life each machine has now, `up` which ones the list of machines showed
-        as up when it was asked for at `listed`. A new life alone proves nothing: it may have been
-        on its way before the order. Nor does an older list, which shows each machine as up. One on
-        which nothing lives, such as one on standby, is back if it is up after the time that an
-        upkeep takes. One whose order is in doubt keeps its place: the order may be carried out
-        later still, and is repeated.
+        """Release the places of machines that are back from upkeep.
+
+        `incarnations` maps each machine to its present incarnation. `up` holds the machines that
+        were up in the list requested at `listed_at`. A new incarnation alone is no proof: it may
+        have started before the order. Nor is a list older than the order, which shows every machine
+        as up. A machine without an executor, such as one on standby, is back if it is up after the
+        duration of an upkeep. A machine whose order is unconfirmed keeps its place, because the
+        order is repeated and may still be carried out.
         """
         for machine, before in list(self.away.items()):
             if machine in self.unconfirmed:
                 continue
-            age = listed - self.ordered.get(machine, 0.0)
-            changed = before == UNKNOWN_INCARNATION or lives.get(machine, before) != before
-            over = machine in self.confirmed and machine not in lives and age > MIN_UPKEEP_DURATION
+            age = listed_at - self.ordered.get(machine, 0.0)
+            changed = before == UNKNOWN_INCARNATION or incarnations.get(machine, before) != before
+            over = (
+                machine in self.confirmed
+                and machine not in incarnations
+                and age > MIN_UPKEEP_DURATION
+            )
             if age > LIST_LAG and (changed or over) and machine in up:
                 del self.away[machine]
 
 
 def incarnation_id(executor: Executor) -> str:
-    """Return what tells two lives of an executor apart."""
+    """Return an identifier that differs between incarnations of an executor."""
     return f"{executor.name}@{executor.facts.incarnation}"
 
 
 def machines_to_close(
     progress: WaveProgress, executors: Mapping[str, Executor], now: float
 ) -> list[str]:
-    """Return machines that should be emptied now.
+    """Return the machines that should be closed and emptied now.
 
-    Lasting tasks are moved one after the other as their steps allow, which decides how long a wave
-    takes; so the machines that hold them begin at once, beside those with least work. Machines that
-    are down for other reasons are left for later.
+    Long-running tasks are moved one after the other as their steps allow, which determines the
+    duration of a wave. So machines that hold them are emptied from the start, along with those with
+    the least work. Machines that are down for other reasons are left for later.
     """
     wave = progress.wave
-    room = wave.most_away + EMPTIED_AHEAD - len(progress.away) - len(progress.closed)
+    free_places = (
+        wave.most_away + EXTRA_MACHINES_EMPTIED - len(progress.away) - len(progress.closed)
+    )
     waiting = [
         name
         for name in wave.machines
@@ -155,44 +166,44 @@
     sizes = Counter(service for service, _ in kinds.values())
     closed = Counter(kinds[name] for name in progress.closed if name in kinds)
     left = Counter(kinds[name] for name in waiting) + closed
-    time_left = progress.unhurried_for(now)
-    most = {
-        (service, lasting): _emptied_at_once(
-            sizes[service], left[service, lasting], lasting, time_left
+    time_left = progress.wait_time_left(now)
+    limits = {
+        (service, long_running): _max_emptied(
+            sizes[service], left[service, long_running], long_running, time_left
         )
-        for service, lasting in left
+        for service, long_running in left
     }
     chosen: list[str] = []
     for name in waiting:
         kind = kinds[name]
-        if len(chosen) < room and closed[kind] < most[kind]:
+        if len(chosen) < free_places and closed[kind] < limits[kind]:
             chosen.append(name)
             closed[kind] += 1
     return chosen
 
 
 def _emptying_kind(executor: Executor) -> tuple[str, bool]:
-    """Return the service, and whether lasting tasks have to be moved away."""
+    """Return the service, and whether long-running tasks have to be moved away."""
     return executor.facts.service, has_long_running(executor)
 
 
-def _emptied_at_once(size: int, left: int, lasting: bool, time_left: float) -> int:
-    """Return how many machines of one kind of a service may be in emptying at the same time.
+def _max_emptied(size: int, left: int, long_running: bool, time_left: float) -> int:
+    """Return how many machines of one kind of a service may be emptied at the same time.
 
-    Few, so that a pool loses no more room than needed; but as many as it takes for those that are
-    `left` to be through in time. An owner that comes late in a wave finds most of them before it.
+    The number is small so that a pool loses no more capacity than needed, but large enough to empty
+    the `left` machines in time. An owner that takes over late in a wave may find most of them left.
     """
-    rounds = max(1.0, time_left / EMPTYING)
-    part = EMPTIED_PART_LASTING if lasting else EMPTIED_PART
+    rounds = max(1.0, time_left / EMPTYING_TIME)
+    part = MAX_EMPTIED_PART_LONG_RUNNING if long_running else MAX_EMPTIED_PART
     return max(1, int(part * size), math.ceil(left / rounds))
 
 
 def runs_to_move(executor: Executor, has_place: Callable[[Run], bool]) -> list[Run]:
-    """Return long-running tasks of an executor that may be moved now, one of a step.
+    """Return the long-running tasks that may be moved off an executor now, one of each step.
 
-    A task for which no other executor has a place stays at work: stopped now, it would be away
-    until a machine has come. The order is the same for each owner: a new one that can't see yet
-    what its predecessor stopped chooses the same task, not a second one.
+    A task that no other executor can take keeps running; stopped now, it would be away until
+    another machine has arrived. The order of tasks is the same for each owner, so that a new owner
+    that does not know yet what its predecessor stopped chooses the same task, not a second one.
     """
     chosen: dict[StepProgress, Run] = {}
     for run in sorted(executor.runs.values(), key=lambda run: run.task.task_id):
@@ -206,7 +217,7 @@
 def may_begin_upkeep(
     executor: Executor, since: float, past_wait_deadline: bool, now: float
 ) -> bool:
-    """Tell whether the upkeep of a closed machine may begin."""
+    """Return whether the upkeep of a closed machine may begin."""
     if has_long_running(executor):
         return past_wait_deadline and may_interrupt_all(executor)
     return not executor.runs or past_wait_deadline or now > since + SHORT_TASK_TIMEOUT
--- a/vanillawell/tests/draining_state_tests.py
+++ b/vanillawell/tests/draining_state_tests.py
@@ -1,4 +1,4 @@
-"""Test on plain data when lasting tasks leave an executor that said that it ends."""
+"""Test when tasks are stopped on a draining executor, on plain data."""
 
 from __future__ import annotations
 
@@ -25,22 +25,22 @@
     from vanillawell.state.work import Run
 
 GRACE = 0.4
-"""Seconds that a stop takes at most."""
+"""Maximum number of seconds that a stop takes."""
 
 
-def _drains(bench: Bench, name: str, remaining: float | None) -> Executor:
+def _start_draining(bench: Bench, name: str, remaining: float | None) -> Executor:
     executor = bench.shard.ledger.executors[name]
-    told = replace(executor.facts, draining=True, remaining=remaining)
-    return bench.register(told)
+    reported = replace(executor.facts, draining=True, remaining=remaining)
+    return bench.register(reported)
 
 
-def _to_move(bench: Bench, executor: Executor) -> list[Run]:
+def _runs_to_stop(bench: Bench, executor: Executor) -> list[Run]:
     return runs_to_stop(
         executor, lambda run: bench.shard.has_place(run, bench.now), GRACE, bench.now
     )
 
 
-def _two_lasting(bench: Bench, **fields: Any) -> list[Run]:
+def _place_two_long_running(bench: Bench, **fields: Any) -> list[Run]:
     bench.admit(job(step(2, long_running=True, **fields)))
     runs = bench.place()
     for run in runs:
@@ -48,58 +48,59 @@
     return runs
 
 
-def test_tasks_are_moved_within_what_their_step_lets_be_away() -> None:
+def test_no_more_tasks_are_moved_than_their_step_allows_to_be_away() -> None:
     bench = Bench(facts("i-0"))
-    first, second = _two_lasting(bench, most_away=1)
+    first, second = _place_two_long_running(bench, most_away=1)
     bench.register(facts("i-1"))
-    executor = _drains(bench, "i-0", 4.0)
-    assert _to_move(bench, executor) == [first]
+    executor = _start_draining(bench, "i-0", 4.0)
+    assert _runs_to_stop(bench, executor) == [first]
     bench.shard.want_stop(first)
-    assert _to_move(bench, executor) == []
+    assert _runs_to_stop(bench, executor) == []
     assert not second.stop_wanted
 
 
-def test_a_task_waits_for_another_of_its_step_that_is_away_elsewhere() -> None:
+def test_a_task_is_not_moved_while_another_of_its_step_is_away() -> None:
     bench = Bench(facts("i-0"), facts("i-1"))
-    first, second = _two_lasting(bench, most_away=1, most_per_executor=1)
+    first, second = _place_two_long_running(bench, most_away=1, most_per_executor=1)
     bench.register(facts("i-2"))
-    executor = _drains(bench, first.executor, 4.0)
+    executor = _start_draining(bench, first.executor, 4.0)
     second.at_work = False
-    assert _to_move(bench, executor) == []
+    assert _runs_to_stop(bench, executor) == []
     second.at_work = True
-    assert _to_move(bench, executor) == [first]
+    assert _runs_to_stop(bench, executor) == [first]
 
 
-def test_every_owner_moves_the_same_task_first() -> None:
-    """A stop that a former owner ordered is under way, and its task still looks at work. Its
-    successor knows the runs in another order; a second task of the step must not be stopped."""
+def test_a_new_owner_chooses_the_same_task_to_move() -> None:
+    """The previous owner has ordered a stop that is under way, so the task still appears to be
+    available. The new owner has the runs in a different order and must choose the same task, not a
+    second one of the step."""
     bench = Bench(facts("i-0"))
-    first, _ = _two_lasting(bench, most_away=1)
+    first, _ = _place_two_long_running(bench, most_away=1)
     bench.register(facts("i-1"))
-    executor = _drains(bench, "i-0", 4.0)
+    executor = _start_draining(bench, "i-0", 4.0)
     executor.runs = dict(reversed(executor.runs.items()))
-    assert _to_move(bench, executor) == [first]
+    assert _runs_to_stop(bench, executor) == [first]
 
 
-def test_a_task_without_a_place_works_on_until_its_executor_is_about_to_leave() -> None:
+def test_a_task_without_another_place_is_stopped_only_at_the_deadline() -> None:
     bench = Bench(facts("i-0"))
-    runs = _two_lasting(bench)
-    executor = _drains(bench, "i-0", 4.0)
-    assert _to_move(bench, executor) == []
+    runs = _place_two_long_running(bench)
+    executor = _start_draining(bench, "i-0", 4.0)
+    assert _runs_to_stop(bench, executor) == []
     bench.now += 3.2
-    assert _to_move(bench, executor) == runs
+    assert _runs_to_stop(bench, executor) == runs
 
 
-def test_what_would_be_lost_anyway_is_stopped_in_time_beyond_what_may_be_away() -> None:
+def test_at_the_deadline_tasks_are_stopped_regardless_of_the_allowed_absence() -> None:
     bench = Bench(facts("i-0"))
-    runs = _two_lasting(bench, most_away=1)
+    runs = _place_two_long_running(bench, most_away=1)
     bench.register(facts("i-1"))
-    executor = _drains(bench, "i-0", 0.8)
-    assert _to_move(bench, executor) == runs
+    executor = _start_draining(bench, "i-0", 0.8)
+    assert _runs_to_stop(bench, executor) == runs
 
 
-def _short(bench: Bench, *percents: int, **fields: Any) -> Run:
-    """Place a task that ends by itself, and report its progress each second."""
+def _place_short(bench: Bench, *percents: int, **fields: Any) -> Run:
+    """Place a task of limited duration and report its progress once a second."""
     bench.admit(job(step(1, **fields)))
     (run,) = bench.place()
     executor = bench.shard.ledger.executors[run.executor]
@@ -111,102 +112,104 @@
     return run
 
 
-def test_tasks_that_end_by_themselves_work_on_while_time_remains() -> None:
+def test_tasks_of_limited_duration_are_not_stopped_while_time_remains() -> None:
     bench = Bench(facts("i-0"))
-    _short(bench, 10, 20, saves_progress=True)
+    _place_short(bench, 10, 20, saves_progress=True)
     bench.register(facts("i-1"))
-    assert _to_move(bench, _drains(bench, "i-0", 4.0)) == []
+    assert _runs_to_stop(bench, _start_draining(bench, "i-0", 4.0)) == []
 
 
-def test_a_task_that_saves_progress_is_stopped_if_its_executor_leaves_long_before_its_end() -> None:
+def test_a_task_with_checkpoints_is_stopped_if_it_cannot_end_before_its_executor() -> None:
     bench = Bench(facts("i-0"))
-    run = _short(bench, 10, 20, saves_progress=True)
-    assert _to_move(bench, _drains(bench, "i-0", 0.8)) == [run]
+    run = _place_short(bench, 10, 20, saves_progress=True)
+    assert _runs_to_stop(bench, _start_draining(bench, "i-0", 0.8)) == [run]
 
 
-def test_a_task_that_may_still_be_done_in_time_works_on() -> None:
+def test_a_task_that_may_end_before_its_executor_is_not_stopped() -> None:
     bench = Bench(facts("i-0"))
-    _short(bench, 10, 50, saves_progress=True)
-    assert _to_move(bench, _drains(bench, "i-0", 0.8)) == []
+    _place_short(bench, 10, 50, saves_progress=True)
+    assert _runs_to_stop(bench, _start_draining(bench, "i-0", 0.8)) == []
 
 
-def test_a_task_whose_work_would_be_lost_by_a_stop_works_on() -> None:
-    """Executors may go on for seconds beyond the time they name; a stop surely loses the work."""
+def test_a_task_without_checkpoints_is_not_stopped() -> None:
+    """Executors may continue for seconds beyond the announced time, while a stop would certainly
+    lose the work of a task without checkpoints."""
     bench = Bench(facts("i-0"))
-    _short(bench, 10, 20)
-    assert _to_move(bench, _drains(bench, "i-0", 0.5)) == []
+    _place_short(bench, 10, 20)
+    assert _runs_to_stop(bench, _start_draining(bench, "i-0", 0.5)) == []
 
 
-def test_a_new_owner_does_not_take_former_progress_for_pace() -> None:
-    """The first report that a new owner gets shows a task at 80 per cent; seen as the work of a
-    moment, the rest would seem done at once, and the task would be lost with its executor."""
+def test_a_new_owner_does_not_use_initial_progress_as_a_rate() -> None:
+    """The first report to a new owner shows a task at 80 per cent. Taken as progress since the
+    take-over, the task would seem to be almost finished and would be lost with its executor."""
     bench = Bench(facts("i-0"))
-    run = _short(bench, 80, 82, saves_progress=True)
-    assert _to_move(bench, _drains(bench, "i-0", 0.8)) == [run]
+    run = _place_short(bench, 80, 82, saves_progress=True)
+    assert _runs_to_stop(bench, _start_draining(bench, "i-0", 0.8)) == [run]
 
 
-def test_a_task_that_has_shown_no_pace_yet_works_on() -> None:
+def test_a_task_without_a_known_rate_of_progress_is_not_stopped() -> None:
     bench = Bench(facts("i-0"))
-    _short(bench, 10, saves_progress=True)
-    assert _to_move(bench, _drains(bench, "i-0", 0.5)) == []
+    _place_short(bench, 10, saves_progress=True)
+    assert _runs_to_stop(bench, _start_draining(bench, "i-0", 0.5)) == []
 
 
-def test_an_executor_that_is_ready_again_keeps_its_tasks() -> None:
+def test_an_executor_that_is_ready_again_is_no_longer_draining() -> None:
     bench = Bench(facts("i-0"))
-    _two_lasting(bench)
-    executor = _drains(bench, "i-0", 4.0)
+    _place_two_long_running(bench)
+    executor = _start_draining(bench, "i-0", 4.0)
     assert draining_executors(bench.shard.ledger.executors.values()) == [executor]
     bench.register(facts("i-0"))
     assert draining_executors(bench.shard.ledger.executors.values()) == []
 
 
-def test_an_entry_that_is_read_again_gives_no_more_time() -> None:
-    """The registry is read anew while machines are expected, and entries change only now and then.
-    The time left counts from the first reading."""
+def test_reading_a_registry_entry_again_does_not_extend_the_remaining_time() -> None:
+    """The registry is read again while machines are expected, but entries change only occasionally.
+    The remaining time counts from the first time an entry was read."""
     bench = Bench(facts("i-0"))
-    executor = _drains(bench, "i-0", 4.0)
+    executor = _start_draining(bench, "i-0", 4.0)
     bench.now += 1.0
-    _drains(bench, "i-0", 4.0)
+    _start_draining(bench, "i-0", 4.0)
     assert time_left(executor, bench.now) == pytest.approx(3.0)
-    _drains(bench, "i-0", 2.5)
+    _start_draining(bench, "i-0", 2.5)
     assert time_left(executor, bench.now) == pytest.approx(2.5)
 
 
-def test_a_new_owner_takes_the_entry_it_reads_first_for_an_old_one() -> None:
-    """An entry may be as old as the time between two. Taken for new by each of several owners in
-    turn, it would promise time that the executor doesn't have."""
+def test_a_new_owner_assumes_the_maximum_age_of_the_first_entry_it_reads() -> None:
+    """A registry entry may be as old as the interval between two updates. If each new owner took it
+    for new, the executor would be expected to run for longer than it does."""
     bench = Bench(facts("i-0", draining=True, remaining=4.0))
     (executor,) = bench.shard.ledger.executors.values()
     assert time_left(executor, bench.now) == pytest.approx(4.0 - ENTRY_AGE)
 
 
-def test_a_new_life_under_the_same_id_does_not_leave() -> None:
+def test_a_new_incarnation_under_the_same_id_is_not_draining() -> None:
     bench = Bench(facts("i-0"))
-    executor = _drains(bench, "i-0", 4.0)
+    executor = _start_draining(bench, "i-0", 4.0)
     bench.register(facts("i-0", incarnation=2))
     assert draining_executors([executor]) == []
 
 
-def test_an_executor_that_does_not_say_how_long_it_goes_on_may_leave_at_once() -> None:
+def test_a_draining_executor_without_remaining_time_may_end_at_once() -> None:
     bench = Bench(facts("i-0"))
-    assert stop_deadline_reached(_drains(bench, "i-0", None), GRACE, bench.now)
+    assert stop_deadline_reached(_start_draining(bench, "i-0", None), GRACE, bench.now)
 
 
-def test_a_task_that_needs_advice_is_not_moved_before_it_is_known_who_may_run_it() -> None:
-    """Tickets hold for seconds only, and are forgotten with each owner. Without any, all executors
-    were taken for places; the task was stopped, and none of those that may run it had room."""
+def test_a_task_that_needs_advice_is_not_moved_without_tickets() -> None:
+    """Tickets are valid for seconds only and are lost with each change of owner. Without tickets,
+    every executor was taken for a possible place: the task was stopped, and no executor that was
+    allowed to run it had free capacity."""
     rule = AdviceRule(0.005, 0.001, 3.0)
-    hinted = Queue(QUEUE, "h", "/q/", POOL, 0, 3, 1.6, 0.6, False, rule)
-    bench, item = Bench(facts("i-0"), queues={QUEUE: hinted}), job(step(long_running=True))
+    queue = Queue(QUEUE, "h", "/q/", POOL, 0, 3, 1.6, 0.6, False, rule)
+    bench, item = Bench(facts("i-0"), queues={QUEUE: queue}), job(step(long_running=True))
     bench.admit(item)
     bench.shard.tickets[item.job_id, 0, 0] = {"i-0": "ticket"}
     (run,) = bench.place()
     run.at_work = True
     bench.register(facts("i-1"))
-    executor = _drains(bench, "i-0", 4.0)
-    assert _to_move(bench, executor) == []
+    executor = _start_draining(bench, "i-0", 4.0)
+    assert _runs_to_stop(bench, executor) == []
     bench.shard.tickets.clear()
-    assert _to_move(bench, executor) == []
+    assert _runs_to_stop(bench, executor) == []
 
 
 def _entry(**fields: object) -> bytes:
@@ -214,9 +217,9 @@
     return orjson.dumps({**entry, **fields})
 
 
-def test_the_time_left_is_read_from_the_registry() -> None:
-    told = read_executor("servers/i-0", _entry(remainingMs=2200))
-    assert told.remaining == 2.2
+def test_the_remaining_time_is_read_from_the_registry() -> None:
+    facts_read = read_executor("servers/i-0", _entry(remainingMs=2200))
+    assert facts_read.remaining == 2.2
     assert read_executor("servers/i-0", _entry()).remaining is None
     with pytest.raises(UnreadableDocumentError):
         read_executor("servers/i-0", _entry(remainingMs="soon"))
--- a/vanillawell/tests/lost_executors_tests.py
+++ b/vanillawell/tests/lost_executors_tests.py
@@ -1,170 +1,183 @@
-"""Prove on plain data which executors the list of machines shows to have ended, and which not."""
+"""Test which executors the list of machines shows to have ended, on plain data."""
 
 from __future__ import annotations
 
 from vanillawell.state.executors import Executor
 from vanillawell.state.lost_executors import (
-    LISTED_AFTER,
+    MAX_LIST_LAG,
     LostExecutors,
     find_lost_executors,
     unresponsive_executors,
 )
 from vanillawell.tests.scheduling_builders import Bench, facts, job, step
 
-LATER = LISTED_AFTER + 1.0
+AFTER_LIST_LAG = MAX_LIST_LAG + 1.0
 
 
-def bench_of(*names: str) -> tuple[Bench, list[Executor]]:
-    """Return executors that each run a task."""
+def harness_with(*names: str) -> tuple[Bench, list[Executor]]:
+    """Return a harness and executors that run one task each."""
     bench = Bench(*(facts(name) for name in names))
     bench.admit(job(step(len(names), long_running=True, most_per_executor=1)))
     assert len(bench.place()) == len(names)
     return bench, list(bench.shard.ledger.executors.values())
 
 
-def listing(*living: str, down: tuple[str, ...] = ()) -> dict[str, str]:
-    """Return the executors on listed machines; those that are down carry none."""
-    return {**{f"m-{name}": name for name in living}, **{f"m-{name}": "" for name in down}}
+def machine_list(*running: str, down: tuple[str, ...] = ()) -> dict[str, str]:
+    """Return a list of machines with the running executors; machines that are down have none."""
+    return {**{f"m-{name}": name for name in running}, **{f"m-{name}": "" for name in down}}
 
 
-def test_an_executor_whose_machine_is_down_has_ended() -> None:
-    """Waiting for its leases would help nobody."""
-    bench, executors = bench_of("i-1", "i-2", "i-3")
+def test_an_executor_whose_machine_is_down_is_terminated() -> None:
+    """Its tasks can be restarted without waiting for its leases to expire."""
+    bench, executors = harness_with("i-1", "i-2", "i-3")
     executors[0].silent_since = bench.now
-    requested_at = bench.now + LATER
+    requested_at = bench.now + AFTER_LIST_LAG
     assert unresponsive_executors(executors, requested_at) == [executors[0]]
     assert find_lost_executors(
-        executors, listing("i-2", "i-3", down=("i-1",)), requested_at
+        executors, machine_list("i-2", "i-3", down=("i-1",)), requested_at
     ).terminated == [executors[0]]
 
 
-def test_an_executor_whose_machine_carries_another_one_has_ended() -> None:
-    bench, executors = bench_of("i-1", "i-2")
+def test_an_executor_whose_machine_has_another_executor_is_terminated() -> None:
+    bench, executors = harness_with("i-1", "i-2")
     executors[0].silent_since = bench.now
     listed = {"m-i-1": "i-9", "m-i-2": "i-2"}
-    assert find_lost_executors(executors, listed, bench.now + LATER).terminated == [executors[0]]
+    assert find_lost_executors(executors, listed, bench.now + AFTER_LIST_LAG).terminated == [
+        executors[0]
+    ]
 
 
 def test_an_executor_whose_machine_is_not_listed_is_only_missing() -> None:
-    """The machine is gone for good, or the list was incomplete this time."""
-    bench, executors = bench_of("i-1", "i-2", "i-3")
+    """Its machine may have been removed for good, or the list may be incomplete."""
+    bench, executors = harness_with("i-1", "i-2", "i-3")
     executors[0].silent_since = bench.now
-    found = find_lost_executors(executors, listing("i-2", "i-3"), bench.now + LATER)
+    found = find_lost_executors(executors, machine_list("i-2", "i-3"), bench.now + AFTER_LIST_LAG)
     assert found == LostExecutors(terminated=[], missing=[executors[0]])
 
 
-def test_an_executor_behind_a_broken_path_is_waited_for() -> None:
-    """Its machine is up. It runs on until its leases expire, and its tasks would run twice."""
-    bench, executors = bench_of("i-1", "i-2")
+def test_an_executor_behind_a_broken_path_is_not_terminated() -> None:
+    """Its machine is up, so it runs until its leases expire. Restarted earlier, its tasks would run
+    twice."""
+    bench, executors = harness_with("i-1", "i-2")
     executors[0].silent_since = bench.now
     assert (
-        find_lost_executors(executors, listing("i-1", "i-2"), bench.now + LATER) == LostExecutors()
+        find_lost_executors(executors, machine_list("i-1", "i-2"), bench.now + AFTER_LIST_LAG)
+        == LostExecutors()
     )
 
 
-def test_a_list_from_before_an_executor_came_proves_nothing_of_it() -> None:
-    """The list is behind, and the executor answers nothing right after it has come."""
-    bench, executors = bench_of("i-1", "i-2")
+def test_a_list_older_than_an_executor_does_not_terminate_it() -> None:
+    """The list lags behind, and the executor does not answer right after it has started."""
+    bench, executors = harness_with("i-1", "i-2")
     executors[0].silent_since = bench.now
-    executors[1].known_since = bench.now - LATER
-    listed = listing("i-2", down=("i-1",))
-    assert find_lost_executors(executors, listed, bench.now + LISTED_AFTER / 2) == LostExecutors()
+    executors[1].known_since = bench.now - AFTER_LIST_LAG
+    listed = machine_list("i-2", down=("i-1",))
+    assert find_lost_executors(executors, listed, bench.now + MAX_LIST_LAG / 2) == LostExecutors()
 
 
-def test_a_new_life_under_an_old_id_is_not_ended_by_a_list_from_before() -> None:
-    """An executor has started again under its id and answers nothing yet."""
-    bench, executors = bench_of("i-1", "i-2")
-    executors[0].begin_life(bench.now + LATER)
-    listed = listing("i-2", down=("i-1",))
+def test_a_list_older_than_an_incarnation_does_not_terminate_it() -> None:
+    """An executor has restarted under the same id and does not answer yet."""
+    bench, executors = harness_with("i-1", "i-2")
+    executors[0].begin_life(bench.now + AFTER_LIST_LAG)
+    listed = machine_list("i-2", down=("i-1",))
     assert (
-        find_lost_executors(executors, listed, bench.now + LATER + LISTED_AFTER / 2)
+        find_lost_executors(executors, listed, bench.now + AFTER_LIST_LAG + MAX_LIST_LAG / 2)
         == LostExecutors()
     )
 
 
-def test_an_executor_that_answers_is_alive_whatever_the_list_says() -> None:
-    """The list misses an executor that reports its work."""
-    bench, executors = bench_of("i-1", "i-2", "i-3", "i-4")
+def test_an_executor_that_answers_is_never_terminated() -> None:
+    """The list does not contain an executor that reports its work."""
+    bench, executors = harness_with("i-1", "i-2", "i-3", "i-4")
     assert (
-        find_lost_executors(executors, listing("i-2", "i-3", "i-4"), bench.now + LATER)
+        find_lost_executors(
+            executors, machine_list("i-2", "i-3", "i-4"), bench.now + AFTER_LIST_LAG
+        )
         == LostExecutors()
     )
 
 
-def test_a_list_that_misses_what_answers_is_not_believed() -> None:
-    """The list is empty, or a page of it is missing: a fault of the service, not of the fleet."""
-    bench, executors = bench_of("i-1", "i-2", "i-3", "i-4", "i-5")
+def test_a_list_that_lacks_responding_executors_is_not_credible() -> None:
+    """The list is empty or lacks a page: a fault of the service, not of the executors."""
+    bench, executors = harness_with("i-1", "i-2", "i-3", "i-4", "i-5")
     executors[0].silent_since = bench.now
-    for living in ((), ("i-2",), ("i-2", "i-3")):
+    for running in ((), ("i-2",), ("i-2", "i-3")):
         assert (
-            find_lost_executors(executors, listing(*living, down=("i-1",)), bench.now + LATER)
+            find_lost_executors(
+                executors, machine_list(*running, down=("i-1",)), bench.now + AFTER_LIST_LAG
+            )
             == LostExecutors()
         )
-    listed = listing("i-2", "i-3", "i-4", down=("i-1",))
-    assert find_lost_executors(executors, listed, bench.now + LATER).terminated == [executors[0]]
+    listed = machine_list("i-2", "i-3", "i-4", down=("i-1",))
+    assert find_lost_executors(executors, listed, bench.now + AFTER_LIST_LAG).terminated == [
+        executors[0]
+    ]
 
 
-def test_without_any_executor_in_touch_no_list_is_believed() -> None:
-    """Nothing shows that the list tells of this fleet as it is."""
-    bench, executors = bench_of("i-1", "i-2")
+def test_without_a_responding_executor_no_list_is_credible() -> None:
+    """Nothing confirms that the list reflects the present state of the fleet."""
+    bench, executors = harness_with("i-1", "i-2")
     for executor in executors:
         executor.silent_since = bench.now
     assert (
-        find_lost_executors(executors, listing("i-2", down=("i-1",)), bench.now + LATER)
+        find_lost_executors(
+            executors, machine_list("i-2", down=("i-1",)), bench.now + AFTER_LIST_LAG
+        )
         == LostExecutors()
     )
 
 
-def test_executors_that_run_nothing_are_not_asked_about() -> None:
-    """Readings of the list have a price, and nobody waits for an idle executor."""
+def test_idle_executors_cause_no_request_for_the_list() -> None:
+    """Requests for the list are costly, and nothing waits for an idle executor."""
     bench = Bench(facts("i-1"))
     executors = list(bench.shard.ledger.executors.values())
     executors[0].silent_since = bench.now
-    assert unresponsive_executors(executors, bench.now + LATER) == []
+    assert unresponsive_executors(executors, bench.now + AFTER_LIST_LAG) == []
 
 
-def test_executors_that_have_just_come_do_not_speak_against_a_list() -> None:
-    """A peak brings many machines, and the list is behind. For as long as they come, no machine
-    that is down would be believed to be, and lasting tasks wait for the leases of its executor."""
-    bench, executors = bench_of("i-1", "i-2", "i-3")
+def test_new_executors_do_not_count_against_a_list() -> None:
+    """A peak brings many new machines before the list contains them. If they counted, no list would
+    be credible for as long as machines arrive, and long-running tasks on a machine that is down
+    would wait for the leases of its executor to expire."""
+    bench, executors = harness_with("i-1", "i-2", "i-3")
     executors[0].silent_since = bench.now
-    requested_at = bench.now + LATER
-    bench.now = requested_at - LISTED_AFTER / 4
+    requested_at = bench.now + AFTER_LIST_LAG
+    bench.now = requested_at - MAX_LIST_LAG / 4
     for number in range(4):
         bench.register(facts(f"new-{number}"))
     fleet = list(bench.shard.ledger.executors.values())
     assert find_lost_executors(
-        fleet, listing("i-2", "i-3", down=("i-1",)), requested_at
+        fleet, machine_list("i-2", "i-3", down=("i-1",)), requested_at
     ).terminated == [executors[0]]
 
 
-def test_executors_that_have_just_come_do_not_speak_for_a_list() -> None:
-    """The list misses most of those that have answered for long. Newcomers that it names must not
-    outvote them."""
-    bench, executors = bench_of("i-1", "i-2", "i-3", "i-4")
+def test_new_executors_do_not_count_in_favour_of_a_list() -> None:
+    """The list lacks most of the executors that have responded for long. New executors that it
+    contains must not outweigh them."""
+    bench, executors = harness_with("i-1", "i-2", "i-3", "i-4")
     executors[0].silent_since = bench.now
-    requested_at = bench.now + LATER
-    bench.now = requested_at - LISTED_AFTER / 4
+    requested_at = bench.now + AFTER_LIST_LAG
+    bench.now = requested_at - MAX_LIST_LAG / 4
     names = [f"new-{number}" for number in range(9)]
     for name in names:
         bench.register(facts(name))
     fleet = list(bench.shard.ledger.executors.values())
     assert (
-        find_lost_executors(fleet, listing("i-2", *names, down=("i-1",)), requested_at)
+        find_lost_executors(fleet, machine_list("i-2", *names, down=("i-1",)), requested_at)
         == LostExecutors()
     )
 
 
-def test_where_all_have_just_come_they_speak_for_and_against_a_list() -> None:
-    """An owner in its first seconds knows no executor in touch for longer."""
-    bench, executors = bench_of("i-1", "i-2", "i-3")
+def test_new_executors_count_if_there_are_no_others() -> None:
+    """An owner that has just taken over has tracked no executor for long."""
+    bench, executors = harness_with("i-1", "i-2", "i-3")
     executors[0].silent_since = bench.now
-    requested_at = bench.now + LATER
+    requested_at = bench.now + AFTER_LIST_LAG
     for executor in executors[1:]:
-        executor.known_since = requested_at - LISTED_AFTER / 4
+        executor.known_since = requested_at - MAX_LIST_LAG / 4
     assert (
-        find_lost_executors(executors, listing("i-2", down=("i-1",)), requested_at)
+        find_lost_executors(executors, machine_list("i-2", down=("i-1",)), requested_at)
         == LostExecutors()
     )
-    listed = listing("i-2", "i-3", down=("i-1",))
+    listed = machine_list("i-2", "i-3", down=("i-1",))
     assert find_lost_executors(executors, listed, requested_at).terminated == [executors[0]]
--- a/vanillawell/tests/upkeep_tests.py
+++ b/vanillawell/tests/upkeep_tests.py
@@ -1,4 +1,4 @@
-"""Test the planning of upkeep on plain data."""
+"""Test the planning of upkeep waves on plain data."""
 
 from __future__ import annotations
 
@@ -24,44 +24,44 @@
     return WaveProgress(Wave(1, machines, 20.0, most_away), first_seen=0.0)
 
 
-def _anywhere(run: Run) -> bool:
+def _always_has_place(run: Run) -> bool:
     return True
 
 
-def test_a_machine_that_was_on_its_way_before_the_order_is_not_back() -> None:
-    """A machine is being moved when its upkeep is ordered; its new executor shows up a moment
-    later. If that counted as the end of the upkeep, one machine too many would be taken down."""
+def test_a_machine_that_was_being_moved_before_the_order_is_not_back() -> None:
+    """A machine is being moved when its upkeep is ordered, and its new executor registers a moment
+    later. Taken for the end of the upkeep, this would let one machine too many be taken down."""
     progress = _progress("m-1")
     progress.away["m-1"], progress.ordered["m-1"] = UNKNOWN_INCARNATION, 10.0
-    progress.release_returned({"m-1": "i-1@5"}, {"m-1"}, listed=9.8)
+    progress.release_returned({"m-1": "i-1@5"}, {"m-1"}, listed_at=9.8)
     assert progress.away
-    progress.release_returned({"m-1": "i-1@5"}, set(), listed=10.5)
+    progress.release_returned({"m-1": "i-1@5"}, set(), listed_at=10.5)
     assert progress.away
-    progress.release_returned({"m-1": "i-2@9"}, {"m-1"}, listed=12.5)
+    progress.release_returned({"m-1": "i-2@9"}, {"m-1"}, listed_at=12.5)
     assert not progress.away
 
 
 def test_a_machine_whose_old_executor_is_still_listed_is_not_back() -> None:
     progress = _progress("m-1")
     progress.away["m-1"], progress.ordered["m-1"] = "i-1@5", 10.0
-    progress.release_returned({"m-1": "i-1@5"}, {"m-1"}, listed=12.0)
+    progress.release_returned({"m-1": "i-1@5"}, {"m-1"}, listed_at=12.0)
     assert progress.away
-    progress.release_returned({"m-1": "i-2@9"}, {"m-1"}, listed=12.5)
+    progress.release_returned({"m-1": "i-2@9"}, {"m-1"}, listed_at=12.5)
     assert not progress.away
 
 
-def test_a_machine_that_is_switched_off_after_its_upkeep_is_back() -> None:
-    """A machine comes back from its upkeep and is moved to standby at once, where no executor lives
-    on it. Waited for until it is used again, it would keep its place and the wave open."""
+def test_a_machine_moved_to_standby_after_its_upkeep_is_back() -> None:
+    """A machine is moved to standby right after its upkeep, where it runs no executor. If a new
+    executor were required, it would keep its place and the wave would never end."""
     progress = _progress("m-1", "m-2")
     for name in progress.wave.machines:
         progress.away[name], progress.ordered[name] = "i-1@5", 10.0
     progress.confirmed.add("m-1")
-    progress.release_returned({}, {"m-1", "m-2"}, listed=9.9)
-    progress.release_returned({}, {"m-1", "m-2"}, listed=10.5)
-    progress.release_returned({}, {"m-2"}, listed=12.5)
+    progress.release_returned({}, {"m-1", "m-2"}, listed_at=9.9)
+    progress.release_returned({}, {"m-1", "m-2"}, listed_at=10.5)
+    progress.release_returned({}, {"m-2"}, listed_at=12.5)
     assert progress.away.keys() == {"m-1", "m-2"}
-    progress.release_returned({}, {"m-1", "m-2"}, listed=12.5)
+    progress.release_returned({}, {"m-1", "m-2"}, listed_at=12.5)
     assert progress.away.keys() == {"m-2"}, "the order for m-2 may still be carried out"
 
 
@@ -77,8 +77,8 @@
 
 
 def test_a_large_pool_has_more_machines_emptied_at_a_time() -> None:
-    """A wave asks for the upkeep of half of 60 machines in a pool. Emptied one after the other, two
-    seconds and more each, most of them would have their upkeep too late."""
+    """A wave includes 30 of 60 machines of a pool. Emptying takes two seconds or more for each, so
+    one after the other most of them would be late."""
     bench = Bench(*(facts(f"i-{number}") for number in range(60)))
     machines = bench.shard.ledger.by_machine()
     progress = _progress(*list(machines)[:30], most_away=20)
@@ -89,9 +89,9 @@
     assert len(machines_to_close(progress, machines, 0.0)) == 1
 
 
-def test_machines_with_lasting_tasks_are_begun_with_at_once() -> None:
-    """Lasting tasks leave one after the other, so that the machines that hold them take longest.
-    Left for the end of a wave, they are late when an owner is lost or the store is away."""
+def test_machines_with_long_running_tasks_are_emptied_from_the_start() -> None:
+    """Long-running tasks are moved one after the other, so the machines that hold them take
+    longest. Left for the end of a wave, they are late if an owner is lost or the store is down."""
     bench = Bench(facts("i-0"), facts("i-1"), facts("i-2"))
     bench.admit(job(step(1, long_running=True)))
     (run,) = bench.place()
@@ -101,9 +101,10 @@
     assert f"m-{run.executor}" in chosen
 
 
-def test_many_machines_with_lasting_tasks_are_open_to_moves_at_a_time() -> None:
-    """Twenty machines hold tasks of four steps, each of which moves one task in 1.6 s. With two in
-    emptying, the other steps would have nothing to move, and the wave would take twice as long."""
+def test_more_machines_with_long_running_tasks_are_emptied_at_a_time() -> None:
+    """Twenty machines hold tasks of four steps, and each step moves one task in 1.6 s. With two
+    machines being emptied, the other steps would have no task to move and the wave would take twice
+    as long."""
     bench = Bench(*(facts(f"i-{number}") for number in range(20)))
     for _ in range(4):
         bench.admit(job(step(5, cpu=8_000, long_running=True, most_away=1, most_per_executor=1)))
@@ -113,8 +114,8 @@
 
 
 def test_a_wave_that_is_behind_has_more_machines_emptied_at_a_time() -> None:
-    """Owners were replaced in series, and six machines of a pool of twelve are left shortly before
-    nothing is waited for any more. Emptied one after the other, the last would be late."""
+    """After several changes of owner, six machines of a pool of twelve are left shortly before the
+    upkeep stops waiting for tasks. Emptied one after the other, the last would be late."""
     bench = Bench(*(facts(f"i-{number}") for number in range(12)))
     machines = bench.shard.ledger.by_machine()
     progress = _progress(*list(machines)[:6], most_away=10)
@@ -123,9 +124,9 @@
     assert len(machines_to_close(progress, machines, now=16.0)) == 6
 
 
-def test_a_lasting_task_moves_to_a_machine_that_a_wave_is_done_with() -> None:
-    """Of two machines with room one has yet to be taken down. A task that moves there would be
-    moved again seconds later, and be away twice."""
+def test_a_long_running_task_moves_to_a_machine_that_does_not_await_upkeep() -> None:
+    """One of two machines with free capacity has yet to be taken down. A task that moves there
+    would be moved again seconds later and be away twice."""
     bench = Bench(facts("i-0"), facts("i-1"))
     bench.shard.ledger.executors["i-0"].awaits_upkeep = True
     bench.admit(job(step(1, long_running=True)))
@@ -133,33 +134,33 @@
     assert run.executor == "i-1"
 
 
-def test_no_more_lasting_tasks_are_taken_away_than_their_step_allows() -> None:
+def test_no_more_long_running_tasks_are_moved_than_their_step_allows() -> None:
     bench = Bench(facts("i-0"), facts("i-1"))
     bench.admit(job(step(2, long_running=True, most_away=1, most_per_executor=1)))
     first, second = bench.place()
     first.at_work = True
     executor = bench.shard.ledger.executors[first.executor]
-    assert runs_to_move(executor, _anywhere) == []
+    assert runs_to_move(executor, _always_has_place) == []
     second.at_work = True
-    assert runs_to_move(executor, _anywhere) == [first]
+    assert runs_to_move(executor, _always_has_place) == [first]
     assert incarnation_id(executor).startswith(executor.name)
 
 
-def test_lasting_tasks_that_were_not_reported_yet_are_not_taken_away_together() -> None:
-    """A new owner has read from the store which tasks last, and no executor has reported yet. Both
-    machines of a step that allows one absence are to be emptied. If a task that was not seen at
-    work could be taken away freely, both would stop at once, and its users find nobody."""
+def test_long_running_tasks_without_a_report_are_not_interrupted_together() -> None:
+    """A new owner has read the long-running tasks from the store, and no executor has reported yet.
+    If a task that was not reported at work could be interrupted freely, both tasks of a step of
+    which one may be away would be stopped at once."""
     bench = Bench(facts("i-0"), facts("i-1"))
     bench.admit(job(step(2, long_running=True, most_away=1, most_per_executor=1)))
     first, second = bench.place()
     executors = bench.shard.ledger.executors
-    assert runs_to_move(executors[first.executor], _anywhere) == []
-    assert runs_to_move(executors[second.executor], _anywhere) == []
+    assert runs_to_move(executors[first.executor], _always_has_place) == []
+    assert runs_to_move(executors[second.executor], _always_has_place) == []
 
 
-def test_a_machine_with_two_tasks_of_a_step_is_not_taken_down_if_one_may_be_away() -> None:
-    """Near the end of a wave's time nothing is waited for any more. Two tasks of a step share a
-    machine; each alone could go, and its upkeep would end both."""
+def test_upkeep_does_not_begin_with_two_tasks_of_a_step_if_one_may_be_away() -> None:
+    """Near the end of a wave the upkeep no longer waits for tasks. Two tasks of a step share a
+    machine: each alone may be away, but the upkeep would end both."""
     bench = Bench(facts("i-0"))
     bench.admit(job(step(2, long_running=True, most_away=1)))
     for run in bench.place():
@@ -168,9 +169,9 @@
     assert not may_begin_upkeep(executor, since=0.0, past_wait_deadline=True, now=bench.now)
 
 
-def test_a_second_order_counts_on_what_the_first_will_end() -> None:
-    """A new owner repeats the orders for two machines side by side, each with a task of a step of
-    which one may be away. Both answers are yet to come when the second is about to go out."""
+def test_runs_that_an_unanswered_order_will_end_count_as_away() -> None:
+    """A new owner repeats the orders for two machines concurrently, each with a task of a step of
+    which one may be away. The first order is unanswered when the second is about to be sent."""
     bench = Bench(facts("i-0"), facts("i-1"))
     bench.admit(job(step(2, long_running=True, most_away=1, most_per_executor=1)))
     for run in bench.place():
@@ -181,9 +182,10 @@
     assert not may_interrupt_all(second)
 
 
-def test_a_lasting_task_stays_at_work_until_another_machine_has_a_place() -> None:
-    """The machine of a lasting task is to be emptied, and each other one has its share of the step.
-    Stopped at once, the task would be away until another machine has come."""
+def test_a_long_running_task_is_not_stopped_until_another_machine_can_take_it() -> None:
+    """The machine of a long-running task is to be emptied, and every other machine has its maximum
+    number of tasks of the step. Stopped now, the task would be away until another machine has
+    arrived."""
     bench = Bench(facts("i-0"), facts("i-1"))
     bench.admit(job(step(2, long_running=True, most_away=1, most_per_executor=1)))
     first, second = bench.place()
@@ -198,17 +200,17 @@
     assert runs_to_move(executor, has_place) == [first]
 
 
-def test_a_machine_whose_order_is_in_doubt_keeps_its_place_until_it_is_repeated() -> None:
-    """A new owner reads that an upkeep was decided, and the list shows the machine as up: the order
-    never went out. Its place must not go to another machine, since the order will be repeated, and
+def test_a_machine_with_an_unconfirmed_order_keeps_its_place() -> None:
+    """A new owner finds that an upkeep was decided, while the machine is listed as up because the
+    order was never sent. The order will be repeated, so its place must not go to another machine:
     one more than allowed would be away."""
     progress = _progress("m-1", "m-2")
     progress.decided, progress.away = {"m-1"}, {"m-1": UNKNOWN_INCARNATION}
-    progress.release_returned({"m-1": "i-1@1"}, {"m-1", "m-2"}, listed=50.0)
+    progress.release_returned({"m-1": "i-1@1"}, {"m-1", "m-2"}, listed_at=50.0)
     assert set(progress.away) == {"m-1"}
     progress.confirmed.add("m-1")
     progress.ordered["m-1"] = 50.0
-    progress.release_returned({"m-1": "i-1@1"}, {"m-1", "m-2"}, listed=50.1)
+    progress.release_returned({"m-1": "i-1@1"}, {"m-1", "m-2"}, listed_at=50.1)
     assert set(progress.away) == {"m-1"}
-    progress.release_returned({"m-1": "i-1@2"}, {"m-1", "m-2"}, listed=53.0)
+    progress.release_returned({"m-1": "i-1@2"}, {"m-1", "m-2"}, listed_at=53.0)
     assert not progress.away
