--- a/vanillawell/state/admission.py
+++ b/vanillawell/state/admission.py
@@ -1,4 +1,4 @@
-"""Decide at arrival whether a request can finish in time, and when to ask again."""
+"""Decide on arrival whether a request can finish in time, and when to retry if not."""
 
 from __future__ import annotations
 
@@ -8,29 +8,29 @@
 if TYPE_CHECKING:
     import random
 
-JITTER = 0.5
-"""Largest part added to a Retry-After, so that refused callers do not come back together."""
+MAX_JITTER = 0.5
+"""Maximum part added to a Retry-After, so that refused callers do not retry at the same time."""
 
-LEAST_RETRY_AFTER = 0.2
-"""Seconds below which asking again only adds load."""
+MIN_RETRY_AFTER = 0.2
+"""Minimum Retry-After in seconds; earlier retries only add load."""
 
 
 @dataclass(frozen=True, slots=True)
 class QueueState:
-    """What an entry knows about one organisation's queue for one pool."""
+    """State of one organisation's queue for one pool in this entry."""
 
     length: int
     bound: int
     service_time: float
-    """Mean seconds one request occupies a slot; 0 while unknown."""
+    """Mean seconds for which one request occupies a slot; 0 if unknown."""
 
     slots: float
-    """Slots the organisation gets here while the queue drains."""
+    """Slots that the organisation gets in this entry while the queue drains."""
 
 
 @dataclass(frozen=True, slots=True)
 class Admission:
-    """Whether to queue, and if not, why and for how long to stay away."""
+    """Whether to queue a request, and if not, why and when to retry."""
 
     admitted: bool
     queue_full: bool = False
@@ -50,8 +50,9 @@
 def start_delay(state: QueueState) -> float:
     """Estimate the seconds until a request that arrives now would start.
 
-    While others wait, every slot is taken: what runs has to end first, then what waits. Left out
-    of the sum, the running request makes each queued one start just too late to finish.
+    While others wait, every slot is taken: running requests have to finish first, then waiting
+    ones. Without the running request in the sum, each queued request would start just too late to
+    finish.
     """
     if not state.length:
         return 0.0
@@ -59,17 +60,16 @@
 
 
 def worth_starting(time_left: float, typical_minimum: float, others_wait: bool) -> bool:
-    """Tell whether to start a request that has waited, rather than the next one of its
-    organisation.
+    """Return whether to start a queued request instead of the next one of its organisation.
 
-    A request that starts shortly before its deadline occupies a slot and is given up on. Once the
-    queue is that old, each one that starts does so too late: every slot is busy and no caller
-    gets an answer. While nobody else waits the slot has no better use, and its run keeps the
-    measured times fresh, so that a service that was slow once is not refused for ever.
+    A request that starts shortly before its deadline occupies a slot and is abandoned. Once
+    requests have waited that long, all of them start too late: every slot is busy and no caller
+    gets an answer. If no other request waits, the slot has no better use, and the run keeps the
+    measured times up to date, so that a service that was once slow is not refused forever.
     """
     return not others_wait or time_left >= typical_minimum
 
 
 def with_jitter(seconds: float, rng: random.Random) -> float:
-    """Turn a wait into a Retry-After with jitter."""
-    return max(LEAST_RETRY_AFTER, seconds) * (1 + rng.uniform(0, JITTER))
+    """Return a Retry-After with jitter for a waiting time."""
+    return max(MIN_RETRY_AFTER, seconds) * (1 + rng.uniform(0, MAX_JITTER))
--- a/vanillawell/state/burn.py
+++ b/vanillawell/state/burn.py
@@ -1,9 +1,9 @@
-"""Keep how fast each service and organisation uses up its error budget.
+"""Count how fast each service and organisation consumes its error budget.
 
-A request is good if a backend server's answer below 500 came in time, bad if it was refused for
-want of room or failed, and does not count if the caller was at fault. Burn is the bad part over
-the part that the objective allows: 1 uses up the budget just in time, 14.4 over an hour uses up
-2 % of a month's.
+A request is good if a backend server answered in time with a status below 500, bad if it failed or
+was refused for lack of capacity, and not counted if the caller was at fault. The burn rate is the
+part of bad requests divided by the part that the objective allows: at 1 the budget is used up
+exactly at the end of its period; 14.4 over an hour uses up 2 % of a month's budget.
 """
 
 from __future__ import annotations
@@ -12,21 +12,21 @@
 from dataclasses import dataclass, field
 
 BUCKET_SECONDS = 10.0
-"""Width of one count."""
+"""Seconds covered by one bucket."""
 
 LONG_WINDOW = 3600.0
-"""Seconds of the long window, and of all that is kept."""
+"""Seconds of the long window, and the retention time of buckets."""
 
 SHORT_WINDOW = 300.0
-"""Seconds of the short window, which tells whether it still burns."""
+"""Seconds of the short window, which shows whether the budget is still being consumed."""
 
-CALLER_FAULTS = frozenset((400, 401, 404, 409, 413, 422))
-"""Statuses that say nothing about the service."""
+CALLER_FAULT_STATUSES = frozenset((400, 401, 404, 409, 413, 422))
+"""Response statuses for errors of the caller, which are not counted."""
 
 
 @dataclass(slots=True)
 class Bucket:
-    """Requests of one span of time."""
+    """Counts of requests in one interval."""
 
     started: float
     good: int = 0
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WindowCounts:
-    """Good and bad requests of both windows."""
+    """Good and bad requests in both windows."""
 
     good_short: int = 0
     bad_short: int = 0
@@ -52,13 +52,13 @@
 
 
 def burn_rate(good: int, bad: int, objective: float) -> float:
-    """Return the bad part over the part that the objective allows."""
+    """Return the part of bad requests divided by the part that the objective allows."""
     total = good + bad
     return bad / total / (1 - objective) if total else 0.0
 
 
 @dataclass(slots=True)
-class BurnLine:
+class BucketSeries:
     """The buckets of one service and organisation."""
 
     buckets: deque[Bucket] = field(default_factory=deque)
@@ -72,7 +72,7 @@
         bucket.bad += not good
 
     def counts(self, now: float) -> WindowCounts:
-        """Add up both windows and forget what is older."""
+        """Return the sums of both windows and remove expired buckets."""
         while self.buckets and now - self.buckets[0].started > LONG_WINDOW:
             self.buckets.popleft()
         recent = [item for item in self.buckets if now - item.started <= SHORT_WINDOW]
@@ -85,18 +85,18 @@
 
 
 class BurnCounters:
-    """Hold the counts of all services and organisations of one entry."""
+    """The counts of all services and organisations of one entry."""
 
     def __init__(self) -> None:
-        self._lines: dict[tuple[str, str], BurnLine] = {}
+        self._series: dict[tuple[str, str], BucketSeries] = {}
 
     def note(self, service: str, organisation: str, status: int, in_time: bool, now: float) -> None:
         """Count a request unless its caller was at fault."""
-        if status in CALLER_FAULTS:
+        if status in CALLER_FAULT_STATUSES:
             return
-        line = self._lines.setdefault((service, organisation), BurnLine())
-        line.add(status < 400 and in_time, now)
+        series = self._series.setdefault((service, organisation), BucketSeries())
+        series.add(status < 400 and in_time, now)
 
     def counts(self, now: float) -> dict[tuple[str, str], WindowCounts]:
         """Return the counts by service and organisation."""
-        return {key: line.counts(now) for key, line in self._lines.items()}
+        return {key: series.counts(now) for key, series in self._series.items()}
--- a/vanillawell/state/charges.py
+++ b/vanillawell/state/charges.py
@@ -1,7 +1,8 @@
-"""Count what each organisation has running, also where nobody waits for the answer any more.
+"""Count the units that each organisation uses, including those of abandoned requests.
 
-A request that an entry gave up on may still run at its backend server. Its unit of the limit
-stays charged until that cannot be so any longer, otherwise the organisation would exceed its limit.
+A request that an entry abandoned may still be running at its backend server. Its unit of the limit
+stays charged until it cannot be running any longer; otherwise the organisation could exceed its
+limit.
 """
 
 from __future__ import annotations
@@ -12,12 +13,12 @@
 
 
 class ChargeCounter:
-    """Hold the units that are in use, by organisation."""
+    """The units that are in use, by organisation."""
 
     def __init__(self) -> None:
         self._charged: Counter[str] = Counter()
-        self._lingering: list[tuple[float, int, str]] = []
-        self._order = itertools.count()
+        self._abandoned: list[tuple[float, int, str]] = []
+        self._sequence = itertools.count()
 
     def charged(self, organisation: str) -> int:
         """Return the units of an organisation in use."""
@@ -30,26 +31,26 @@
 
     @property
     def lingering(self) -> int:
-        """Return the units in use by requests that were given up on."""
-        return len(self._lingering)
+        """Return the units in use by abandoned requests."""
+        return len(self._abandoned)
 
     def charge(self, organisation: str) -> None:
-        """Take one unit."""
+        """Charge one unit."""
         self._charged[organisation] += 1
 
     def release(self, organisation: str) -> None:
-        """Free one unit: its request is known to run no longer."""
+        """Release one unit, because its request is confirmed to have ended."""
         self._charged[organisation] -= 1
 
     def release_later(self, organisation: str, at: float) -> None:
-        """Free one unit at a time when its request cannot run any longer."""
-        heapq.heappush(self._lingering, (at, next(self._order), organisation))
+        """Release one unit at a time after which its request cannot be running any longer."""
+        heapq.heappush(self._abandoned, (at, next(self._sequence), organisation))
 
     def release_due(self, now: float) -> set[str]:
-        """Free the units that are due and return the organisations they belonged to."""
+        """Release the units that are due and return their organisations."""
         freed: set[str] = set()
-        while self._lingering and self._lingering[0][0] <= now:
-            _, _, organisation = heapq.heappop(self._lingering)
+        while self._abandoned and self._abandoned[0][0] <= now:
+            _, _, organisation = heapq.heappop(self._abandoned)
             self.release(organisation)
             freed.add(organisation)
         return freed
--- a/vanillawell/state/demand_table.py
+++ b/vanillawell/state/demand_table.py
@@ -1,4 +1,4 @@
-"""Keep what other entries last reported, by source.
+"""Track the demand that other entries last reported, by source.
 
 A source is an entry of this zone, or another zone as a whole, reported by one entry of it.
 """
@@ -15,30 +15,30 @@
     from collections.abc import Mapping
 
 REPORT_LIFETIME = 5.0
-"""Seconds after which a report that was not renewed counts for nothing."""
+"""Seconds after which a report expires if it is not renewed."""
 
 
-SIGNIFICANT_PART = 0.5
-"""Part of an entry's even share of slots or limit below which its demand changes nothing."""
+MIN_REPORTED_PART = 0.5
+"""Part of an entry's even share of slots or limit below which its demand has no effect."""
 
 
-def is_significant(demand: int, whole: int, entries: int) -> bool:
-    """Tell whether demand here is worth a report.
+def is_significant(demand: int, total: int, entries: int) -> bool:
+    """Return whether the demand in this entry has to be reported.
 
-    If every entry stays below half of its even share, the pool or limit is at most half used,
-    and nobody needs to know more. Between peaks nearly all rows fall away.
+    If every entry stays below half of its even share, the pool or limit is at most half used and no
+    other entry needs the figures. Between peaks almost no rows are sent.
     """
-    return demand > 0 and demand >= SIGNIFICANT_PART * whole / max(1, entries)
+    return demand > 0 and demand >= MIN_REPORTED_PART * total / max(1, entries)
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """What one source needs and has used of one pool for one organisation."""
+    """Demand and past use of one source in one pool for one organisation."""
 
     pool: str
     organisation: str
     demand: int
-    """Requests running or queued."""
+    """Running or queued requests."""
 
     used: float
     """Decayed slot-seconds."""
@@ -49,17 +49,17 @@
     """The latest rows of one source."""
 
     entries: int
-    """Entries that the source stands for."""
+    """Number of entries that the source represents."""
 
     sequence: int
-    """Rises with each report, so that an older one arriving late is left out."""
+    """Increases with each report, so that an older one that arrives late is ignored."""
 
     received: float
     rows: dict[tuple[str, str], Row] = field(default_factory=dict)
 
 
 class DemandTable:
-    """Hold the latest report of each source."""
+    """The latest report of each source."""
 
     def __init__(self) -> None:
         self._reports: dict[str, Report] = {}
@@ -72,7 +72,7 @@
     def receive(
         self, source: str, entries: int, sequence: int, rows: tuple[Row, ...], now: float
     ) -> bool:
-        """Take over a report; False if a newer one is already here."""
+        """Store a report; return False if a newer one was already received."""
         old = self._reports.get(source)
         if old and old.sequence >= sequence and now - old.received < REPORT_LIFETIME:
             return False
@@ -81,7 +81,7 @@
         return True
 
     def expire(self, now: float) -> None:
-        """Forget sources that have fallen silent."""
+        """Remove sources whose reports have expired."""
         self._reports = {
             source: report
             for source, report in self._reports.items()
@@ -101,8 +101,8 @@
         return PoolDemand({**others, source: own})
 
     def slots_used(self, pool: str) -> Counter[str]:
-        """Return the decayed slot-seconds of each organisation in a pool, over all other sources.
-        Return the decayed slot-seconds of each organisation in a pool, over all other sources."""
+        """Return the decayed slot-seconds of each organisation in a pool, over all other
+        sources."""
         used: Counter[str] = Counter()
         for report in self._reports.values():
             for row in report.rows.values():
--- a/vanillawell/state/policy.py
+++ b/vanillawell/state/policy.py
@@ -1,4 +1,4 @@
-"""Hold one version of the configuration, compiled for quick decisions."""
+"""Model one version of the configuration, compiled for fast decisions."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OrganisationPolicy:
-    """What is in force for one organisation."""
+    """Effective settings of one organisation."""
 
     name: str
     share: float
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Executor:
-    """One backend server instance of a pool."""
+    """A backend server instance of a pool."""
 
     name: str
     host: str
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolPolicy:
-    """What is in force for one pool."""
+    """Effective settings of one pool."""
 
     name: str
     service: str | None
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyOwner:
-    """The organisation that a key in force belongs to."""
+    """The organisation that a valid key belongs to."""
 
     organisation: str
     key_id: str
@@ -81,7 +81,7 @@
     organisations: dict[str, OrganisationPolicy]
     pools: dict[str, PoolPolicy]
     keys: dict[str, KeyOwner]
-    """Keys in force by their hash."""
+    """Valid keys by their hash."""
 
     @cached_property
     def services(self) -> dict[str, PoolPolicy]:
@@ -89,7 +89,7 @@
         return {pool.service: pool for pool in self.pools.values() if pool.service}
 
     def owner(self, key: str) -> KeyOwner | None:
-        """Find the organisation of a key, or None if the key is unknown or withdrawn."""
+        """Return the owner of a key, or None if the key is unknown or withdrawn."""
         digest = hashlib.sha256(key.encode()).hexdigest()
         found = self.keys.get(digest)
         if found is None or not hmac.compare_digest(found.sha256, digest):
@@ -114,7 +114,7 @@
 def compile_policy(
     tree: OperatorTree, version: int, limit_changes: Mapping[str, tuple[LimitChange, ...]]
 ) -> Policy:
-    """Resolve inheritance once, so that no request pays for it."""
+    """Compile the configuration tree, resolving inheritance once instead of for each request."""
     organisations = {
         name: _organisation(tree, name, limit_changes[name])
         for name in tree.of_kind("organisation")
--- a/vanillawell/state/queueing.py
+++ b/vanillawell/state/queueing.py
@@ -1,4 +1,4 @@
-"""Queue requests by organisation and pick the next one fairly, urgent work first."""
+"""Queue requests by organisation and select the next one fairly, urgent requests first."""
 
 from __future__ import annotations
 
@@ -10,26 +10,26 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterator
 
-DECAY_SECONDS = 10.0
-"""Time constant after which past use of slots counts for little."""
+DECAY_TIME = 10.0
+"""Time constant of the exponential decay of past slot use."""
 
 
 @dataclass(slots=True, eq=False)
 class WaitingRequest:
-    """One request that waits for a slot."""
+    """A request that waits for a slot."""
 
     organisation: str
     urgent: bool
     arrived: float
     deadline: float
     tried: set[str] = field(default_factory=set)
-    """Executors that an attempt of it has failed on."""
+    """Executors on which an attempt of this request has failed."""
 
 
 class SlotUse:
-    """Measure one organisation's use of slots in slot-seconds, past use decaying.
+    """Measure one organisation's use of slots in slot-seconds, with past use decaying.
 
-    It counts what was really occupied, since declared sizes and run times are far off.
+    Actual occupation is measured, since declared sizes and run times are inaccurate.
     """
 
     def __init__(self, now: float) -> None:
@@ -43,7 +43,7 @@
         return self._running
 
     def change(self, delta: int, now: float) -> None:
-        """Note that `delta` slots were taken or, if negative, freed."""
+        """Record that `delta` slots were taken or, if negative, freed."""
         self._used = self.used(now)
         self._updated = now
         self._running += delta
@@ -51,12 +51,12 @@
     def used(self, now: float) -> float:
         """Return the decayed slot-seconds up to `now`."""
         elapsed = max(0.0, now - self._updated)
-        decay = math.exp(-elapsed / DECAY_SECONDS)
-        return self._used * decay + self._running * DECAY_SECONDS * (1 - decay)
+        decay = math.exp(-elapsed / DECAY_TIME)
+        return self._used * decay + self._running * DECAY_TIME * (1 - decay)
 
 
 class OrganisationQueue:
-    """Requests of one organisation that wait for one pool, urgent ones apart."""
+    """Requests of one organisation that wait for one pool, urgent ones in a separate queue."""
 
     def __init__(self) -> None:
         self._urgent: deque[WaitingRequest] = deque()
@@ -69,22 +69,22 @@
         yield from self._urgent
         yield from self._deferrable
 
-    def line(self, urgent: bool) -> deque[WaitingRequest]:
-        """Return one of the two lines."""
+    def queue_for(self, urgent: bool) -> deque[WaitingRequest]:
+        """Return the queue of urgent or of deferrable requests."""
         return self._urgent if urgent else self._deferrable
 
     def add(self, item: WaitingRequest, front: bool = False) -> None:
-        """Append a request; one that goes back after a refusal keeps its place in front."""
-        line = self.line(item.urgent)
+        """Append a request; one that is requeued after a refusal goes to the front."""
+        queue = self.queue_for(item.urgent)
         if front:
-            line.appendleft(item)
+            queue.appendleft(item)
         else:
-            line.append(item)
+            queue.append(item)
 
     def remove(self, item: WaitingRequest) -> bool:
         """Take a cancelled request out; False if it no longer waits."""
         try:
-            self.line(item.urgent).remove(item)
+            self.queue_for(item.urgent).remove(item)
         except ValueError:
             return False
         return True
@@ -108,7 +108,7 @@
         return len(self._organisations.get(organisation, ()))
 
     def lengths(self) -> dict[str, int]:
-        """Return how many requests wait by organisation, without empty ones."""
+        """Return how many requests wait by organisation, without empty queues."""
         return {
             organisation: len(queue)
             for organisation, queue in self._organisations.items()
@@ -116,7 +116,7 @@
         }
 
     def add(self, item: WaitingRequest, front: bool = False) -> None:
-        """Let a request wait."""
+        """Add a request to the queue of its organisation."""
         self._organisations.setdefault(item.organisation, OrganisationQueue()).add(item, front)
 
     def remove(self, item: WaitingRequest) -> bool:
@@ -125,20 +125,21 @@
         return queue is not None and queue.remove(item)
 
     def pick(
-        self, may_start: Callable[[str], bool], debt: Callable[[WaitingRequest], float]
+        self, may_start: Callable[[str], bool], weighted_use: Callable[[WaitingRequest], float]
     ) -> WaitingRequest | None:
-        """Take out the next request to start, or None if none may.
+        """Remove and return the next request to start, or None if none may start.
 
-        Urgent lines go first. Within a line the organisation whose first request has the least
-        `debt`, normally the organisation's slot use over its share, is next.
+        Urgent requests take precedence. Among those of equal urgency, the request with the least
+        `weighted_use` at the head of a queue is next. Normally that is the organisation's slot use
+        divided by its share.
         """
         for urgent in (True, False):
             heads = [
-                queue.line(urgent)[0]
+                queue.queue_for(urgent)[0]
                 for organisation, queue in self._organisations.items()
-                if queue.line(urgent) and may_start(organisation)
+                if queue.queue_for(urgent) and may_start(organisation)
             ]
             if heads:
-                first = min(heads, key=lambda item: (debt(item), item.organisation))
-                return self._organisations[first.organisation].line(urgent).popleft()
+                first = min(heads, key=lambda item: (weighted_use(item), item.organisation))
+                return self._organisations[first.organisation].queue_for(urgent).popleft()
         return None
--- a/vanillawell/state/retries.py
+++ b/vanillawell/state/retries.py
@@ -1,4 +1,4 @@
-"""Decide whether a failed attempt may be tried again."""
+"""Decide whether a failed attempt is retried."""
 
 from __future__ import annotations
 
@@ -7,27 +7,27 @@
 
 from vanillawell.protocol.verdict import Verdict
 
-BUDGET_CAP = 20.0
-"""Most retries saved up in quiet times, so that a burst of failures stays small."""
+MAX_SAVED_RETRIES = 20.0
+"""Maximum number of retries saved up, so that a burst of failures causes few retries."""
 
-BUDGET_START = 5.0
-"""Retries allowed before any first attempt was seen."""
+INITIAL_RETRIES = 5.0
+"""Retries allowed before the first attempt."""
 
 
 class RetryBudget:
-    """Allow retries as a fraction of first attempts, so that they never multiply an overload."""
+    """Allow retries as a fraction of first attempts, so that they do not amplify an overload."""
 
     def __init__(self, ratio: float, bounded: bool = True) -> None:
         self._ratio = ratio
         self._bounded = bounded
-        self._tokens = BUDGET_START
+        self._tokens = INITIAL_RETRIES
 
     def record_first_attempt(self) -> None:
-        """Earn a fraction of one retry."""
-        self._tokens = min(BUDGET_CAP, self._tokens + self._ratio)
+        """Add a fraction of one retry to the budget."""
+        self._tokens = min(MAX_SAVED_RETRIES, self._tokens + self._ratio)
 
     def take(self) -> bool:
-        """Spend one retry if there is one."""
+        """Take one retry from the budget; return False if it is exhausted."""
         if not self._bounded:
             return True
         if self._tokens < 1:
@@ -37,64 +37,68 @@
 
 
 class Failure(Enum):
-    """How an attempt failed."""
+    """Reason why an attempt failed."""
 
     REFUSED_FULL = auto()
-    """The backend server refused since it is full; nothing ran and nothing is broken."""
+    """The backend server refused because it is full; the request did not run and nothing is
+    broken."""
 
     NOT_SENT = auto()
-    """No byte went out."""
+    """No byte was sent."""
 
     TOO_LATE = auto()
-    """This entry may not send it any more; nothing went out and nothing is broken."""
+    """The entry may not send it any more; nothing was sent and nothing is broken."""
 
     INCOMPLETE_RESPONSE = auto()
-    """It went out, and no answer or half an answer came back."""
+    """It was sent, and no response or an incomplete one arrived."""
 
     SERVER_ERROR = auto()
-    """A whole answer with a status of 5xx came back."""
+    """A complete response with a 5xx status arrived."""
 
 
 @dataclass(frozen=True, slots=True)
 class FailedAttempt:
-    """One failed attempt of a request."""
+    """A failed attempt of a request."""
 
     failure: Failure
     idempotent: bool
     executors_tried: int
-    """Different executors this request has failed on, this one included."""
+    """Distinct executors on which this request has failed, including this one."""
 
     time_left: float
-    """Seconds to the request's deadline."""
+    """Seconds until the request's deadline."""
 
     @property
     def verdict(self) -> Verdict:
-        """Return what the failure proves."""
+        """Return whether the request ran, as far as the failure shows."""
         if self.failure in (Failure.REFUSED_FULL, Failure.NOT_SENT, Failure.TOO_LATE):
             return Verdict.NOT_RUN
         return Verdict.RAN if self.failure is Failure.SERVER_ERROR else Verdict.MAY_HAVE_RUN
 
 
 class RetryDecision(Enum):
-    """What follows a failed attempt."""
+    """Action after a failed attempt."""
 
     REQUEUE = auto()
-    """It was refused as full: wait in the queue for a slot, at no cost to the budget."""
+    """It was refused as full: wait in the queue for a slot, without using the retry budget."""
 
     RETRY = auto()
-    """Try another executor."""
+    """Retry on another executor."""
 
     GIVE_UP = auto()
-    """Give the final answer now."""
+    """Answer the caller now."""
 
 
 def decide(attempt: FailedAttempt, attempts: int, budget: RetryBudget) -> RetryDecision:
-    """Decide what follows; `attempts` bounds the executors that one request may fail on."""
+    """Return the action after a failed attempt.
+
+    `attempts` limits the number of executors on which one request may fail.
+    """
     if attempt.time_left <= 0:
         return RetryDecision.GIVE_UP
     if attempt.failure in (Failure.REFUSED_FULL, Failure.TOO_LATE):
         return RetryDecision.REQUEUE
-    safe = attempt.verdict is Verdict.NOT_RUN or attempt.idempotent
-    if not safe or attempt.executors_tried >= attempts or not budget.take():
+    may_repeat = attempt.verdict is Verdict.NOT_RUN or attempt.idempotent
+    if not may_repeat or attempt.executors_tried >= attempts or not budget.take():
         return RetryDecision.GIVE_UP
     return RetryDecision.RETRY
--- a/vanillawell/state/routing.py
+++ b/vanillawell/state/routing.py
@@ -14,21 +14,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """One executor as a routing policy sees it."""
+    """An executor as seen by a routing policy."""
 
     name: str
     zone: str
     running: int
-    """Attempts of this entry that run there now."""
+    """Attempts of this entry that are running there now."""
 
 
 @dataclass(frozen=True, slots=True)
 class RoutingView:
-    """What is known when an attempt is to be placed."""
+    """Data that a routing decision is based on."""
 
     candidates: tuple[Candidate, ...]
     quotas: Mapping[str, int]
-    """This entry's slots of each executor while the pool is full."""
+    """Slots of each executor that belong to this entry while the pool is full."""
 
     full: bool
     """Whether the pool's demand exceeds its slots."""
@@ -36,8 +36,9 @@
     may_exceed: bool
     """Whether one attempt beyond this entry's own slots may be made now."""
 
-    most_running: int
-    """Attempts that this entry may have at one executor, by its part of the connections."""
+    max_running: int
+    """Maximum number of concurrent attempts of this entry at one executor, from its part of the
+    connections."""
 
     zone: str
     """Zone of this entry."""
@@ -47,54 +48,55 @@
 
 
 class RoutingPolicy(Protocol):
-    """Choose one executor, or None if none may take the attempt now."""
+    """A policy that chooses the executor for an attempt."""
 
     def choose(self, view: RoutingView, health: PoolHealth, now: float) -> str | None:
-        """Return the executor's name."""
+        """Return the name of an executor, or None if none can take the attempt now."""
 
 
 class QuotaRouting:
-    """Keep to this entry's own slots while the pool is full, else take the least loaded.
+    """Use this entry's own slots while the pool is full, otherwise the least loaded executor.
 
-    While the pool is full, entries that all chose the least loaded executor would collide on
-    it; with slots of its own each entry fills just what it frees. Reports are old by then, so
-    some slots belong to entries that no longer need them; now and then an attempt beyond the own
-    slots finds these, and the executor refuses it if there are none.
+    If all entries chose the least loaded executor of a full pool, they would collide on it. With
+    slots of its own, each entry fills just the slots that it frees. The division is based on
+    reports that may be outdated, so some slots belong to entries that no longer need them. An
+    occasional attempt beyond the own slots finds these; the executor refuses it if it has no free
+    slot.
     """
 
     def choose(self, view: RoutingView, health: PoolHealth, now: float) -> str | None:
-        """Return the executor with the most room, of the same zone among equals."""
-        open_ones = [item for item in view.candidates if self._may_take(item, view, health, now)]
-        fresh = [item for item in open_ones if item.name not in view.avoid]
-        chosen = min(fresh, key=lambda item: self._load(item, view), default=None)
+        """Return the executor with the most free slots, preferring the same zone among equals."""
+        available = [item for item in view.candidates if self._may_take(item, view, health, now)]
+        untried = [item for item in available if item.name not in view.avoid]
+        chosen = min(untried, key=lambda item: self._load(item, view), default=None)
         return chosen.name if chosen else None
 
     def _may_take(self, item: Candidate, view: RoutingView, health: PoolHealth, now: float) -> bool:
-        bound = view.most_running
+        limit = view.max_running
         if view.full and not view.may_exceed:
-            bound = min(bound, view.quotas.get(item.name, 0))
-        return item.running < bound and health.of(item.name).available(now, item.running)
+            limit = min(limit, view.quotas.get(item.name, 0))
+        return item.running < limit and health.of(item.name).available(now, item.running)
 
     def _load(self, item: Candidate, view: RoutingView) -> tuple[float, bool, str]:
-        room = view.quotas.get(item.name, 0)
-        return (item.running - room, item.zone != view.zone, item.name)
+        quota = view.quotas.get(item.name, 0)
+        return (item.running - quota, item.zone != view.zone, item.name)
 
 
 class LeastLoadedRouting:
-    """Take the executor with the fewest attempts of this entry: the plain baseline."""
+    """Choose the executor with the fewest attempts of this entry, as a baseline for comparisons."""
 
     def choose(self, view: RoutingView, health: PoolHealth, now: float) -> str | None:
         """Return the executor with the fewest attempts."""
-        open_ones = [item for item in view.candidates if item.running < view.most_running]
-        chosen = min(open_ones, key=lambda item: (item.running, item.name), default=None)
+        available = [item for item in view.candidates if item.running < view.max_running]
+        chosen = min(available, key=lambda item: (item.running, item.name), default=None)
         return chosen.name if chosen else None
 
 
 def connection_bound(connections: int, entries: int) -> int:
     """Return how many connections one entry may open to one executor.
 
-    All entries together must stay within what the executor accepts; with nine entries, eight
-    connections each would be 72 and exceed 64.
+    All entries together must stay within the number that the executor accepts: nine entries with
+    eight connections each would open 72 and exceed 64.
     """
     return max(1, connections // max(1, entries))
 
@@ -102,10 +104,10 @@
 def subset(
     executors: tuple[str, ...], entries: tuple[str, ...], entry: str, connections: int
 ) -> tuple[str, ...]:
-    """Return the executors that `entry` may use when the fleet outgrows their connections.
+    """Return the executors that `entry` may use if there are more entries than connections.
 
-    Each executor is shared by the `connections` entries that rank first for it by rendezvous
-    hashing, so that a change of membership moves few pairs.
+    Each executor is assigned to the `connections` entries that rank first for it by rendezvous
+    hashing, so a change of membership affects few pairs.
     """
     if len(entries) <= connections:
         return executors
--- a/vanillawell/state/slot_allocation.py
+++ b/vanillawell/state/slot_allocation.py
@@ -1,9 +1,8 @@
 """Divide a full pool's slots between organisations by share, and between entries by demand.
 
 All entries compute the same division from the same reports, so that together they serve every
-organisation near its share without asking anyone for each request. When reports differ, the
-executors' own refusal when full is the backstop: a refused request did not run and goes back to
-its queue.
+organisation near its share without coordinating each request. If their reports differ, an executor
+that is full refuses the request, which did not run and is requeued.
 """
 
 from __future__ import annotations
@@ -19,13 +18,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolDemand:
-    """Requests running or queued in one pool: by source (an entry or a zone), then by organisation.
-    Requests running or queued in one pool: by source (an entry or a zone), then by organisation."""
+    """Running or queued requests of one pool, by source (an entry or a zone) and organisation."""
 
     by_source: Mapping[str, Mapping[str, int]]
 
     def by_organisation(self) -> dict[str, int]:
-        """Sum the demand of each organisation over all sources."""
+        """Return the demand of each organisation, summed over all sources."""
         organisations = sorted(
             {organisation for row in self.by_source.values() for organisation in row}
         )
@@ -38,47 +36,47 @@
 def fair_slots(slots: float, demand: Rates, shares: Rates) -> dict[str, float]:
     """Divide `slots` by weighted max-min fairness.
 
-    An organisation that wants less than its part gets what it wants; what it leaves goes to the
-    others in proportion to their shares, so that no slot stays idle while anyone waits.
+    An organisation that wants less than its part gets what it wants. The remainder goes to the
+    others in proportion to their shares, so that no slot stays idle while any request waits.
     """
     result = dict.fromkeys(demand, 0.0)
-    open_organisations = {organisation for organisation, wanted in demand.items() if wanted > 0}
-    left = slots
-    while open_organisations and left > 0:
-        weight = sum(shares[organisation] for organisation in open_organisations)
-        sated = {
+    unsatisfied = {organisation for organisation, wanted in demand.items() if wanted > 0}
+    remaining = slots
+    while unsatisfied and remaining > 0:
+        weight = sum(shares[organisation] for organisation in unsatisfied)
+        satisfied = {
             organisation
-            for organisation in open_organisations
-            if demand[organisation] <= left * shares[organisation] / weight
+            for organisation in unsatisfied
+            if demand[organisation] <= remaining * shares[organisation] / weight
         }
-        if not sated:
+        if not satisfied:
             parts = {
-                organisation: left * shares[organisation] / weight
-                for organisation in open_organisations
+                organisation: remaining * shares[organisation] / weight
+                for organisation in unsatisfied
             }
             return result | parts
-        result |= {organisation: float(demand[organisation]) for organisation in sated}
-        left -= sum(demand[organisation] for organisation in sated)
-        open_organisations -= sated
+        result |= {organisation: float(demand[organisation]) for organisation in satisfied}
+        remaining -= sum(demand[organisation] for organisation in satisfied)
+        unsatisfied -= satisfied
     return result
 
 
 def round_parts(parts: Mapping[str, float], total: int) -> dict[str, int]:
-    """Round parts to whole slots that sum to `total` at most, by largest remainder."""
+    """Round parts to whole slots whose sum is at most `total`, by the largest remainder method."""
     floors = {name: math.floor(part) for name, part in parts.items()}
-    spare = max(0, min(total, round(sum(parts.values()))) - sum(floors.values()))
+    left_over = max(0, min(total, round(sum(parts.values()))) - sum(floors.values()))
     by_remainder = sorted(parts, key=lambda name: (floors[name] - parts[name], name))
-    lucky = set(by_remainder[:spare])
-    return {name: floors[name] + (name in lucky) for name in sorted(parts)}
+    rounded_up = set(by_remainder[:left_over])
+    return {name: floors[name] + (name in rounded_up) for name in sorted(parts)}
 
 
 def source_targets(slots: int, demand: PoolDemand, shares: Rates) -> dict[str, dict[str, float]]:
-    """Return, for each source, the slots each of its organisations should occupy."""
+    """Return, for each source, the slots that each of its organisations should occupy."""
     totals = demand.by_organisation()
-    entitled = fair_slots(slots, totals, shares)
+    allocated = fair_slots(slots, totals, shares)
     return {
         source: {
-            organisation: entitled[organisation] * count / totals[organisation]
+            organisation: allocated[organisation] * count / totals[organisation]
             for organisation, count in row.items()
             if count
         }
@@ -91,8 +89,8 @@
 ) -> dict[str, int]:
     """Return how many slots of each executor belong to `source`.
 
-    The pool's slots are numbered round robin over the executors, and each source gets the next
-    run of numbers, so that no slot belongs to two sources and each source meets many executors.
+    The pool's slots are numbered round robin over the executors and each source gets a consecutive
+    range, so no slot belongs to two sources and each source uses many executors.
     """
     if not executors:
         return {}
@@ -100,5 +98,5 @@
     ends = dict(zip(sorted(parts), offsets, strict=True))
     end = min(ends[source], len(executors) * slots_each)
     numbers = range(max(0, ends[source] - parts[source]), end)
-    mine = [executors[number % len(executors)] for number in numbers]
-    return {name: mine.count(name) for name in executors}
+    own_slots = [executors[number % len(executors)] for number in numbers]
+    return {name: own_slots.count(name) for name in executors}
--- a/vanillawell/tests/builders.py
+++ b/vanillawell/tests/builders.py
@@ -17,7 +17,7 @@
     "longest_request": 4.0,
     "beat_interval": 0.2,
 }
-"""Timing settings that make tests short without changing what is proved."""
+"""Timing settings that shorten tests without changing what they check."""
 
 
 def deployment(**changes: Any) -> Deployment:
--- a/vanillawell/tests/fakes.py
+++ b/vanillawell/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Stand in for the store within one process, with writes that get lost."""
+"""An in-process fake of the store with injectable write faults."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass
 class FaultyStore:
-    """A store whose next write may be lost, delayed or refused."""
+    """A store whose next write may be lost, delayed or refused, as set by `mode`."""
 
     mode: str = "ok"
     down: bool = False
--- a/vanillawell/tests/jobs_tests.py
+++ b/vanillawell/tests/jobs_tests.py
@@ -1,4 +1,4 @@
-"""Check when and where work that may wait runs."""
+"""Test when and where deferrable jobs run."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     return replace(Job(name, "guild", "rebuild", 10.0, 1.0, finish_by), **changes)
 
 
-def book(*jobs: Job, **changes: Any) -> JobRegistry:
+def registry(*jobs: Job, **changes: Any) -> JobRegistry:
     return replace(JobRegistry(1, {item.job_id: item for item in jobs}), **changes)
 
 
@@ -39,54 +39,60 @@
     return [Worker(f"w{number}", cores, used, True) for number in range(count)]
 
 
-def test_the_job_with_least_slack_starts_first() -> None:
-    started = jobs_to_start(book(job("late", 500), job("soon", 60)), workers(1, 1.2), 0.0, 0.0)
+def test_the_job_with_the_least_slack_starts_first() -> None:
+    started = jobs_to_start(registry(job("late", 500), job("soon", 60)), workers(1, 1.2), 0.0, 0.0)
     assert [item.job_id for item, _ in started] == ["soon"]
 
 
-def test_jobs_give_way_to_urgent_work_unless_their_hour_nears() -> None:
-    """A peak begins while a job runs that has hours left and one that has none."""
-    free = job("free", 1000, state=JobState.RUNNING, worker="w0")
-    pressed = job("pressed", 12, state=JobState.RUNNING, worker="w1")
-    assert [item.job_id for item in jobs_to_stop(book(free, pressed), 0.9, 0.0)] == ["free"]
-    waiting = book(job("free"), job("pressed", 12))
+def test_jobs_are_stopped_for_urgent_work_unless_their_deadline_nears() -> None:
+    """A peak of urgent work begins while two jobs run: one has hours left, the other none."""
+    flexible = job("free", 1000, state=JobState.RUNNING, worker="w0")
+    due_soon = job("pressed", 12, state=JobState.RUNNING, worker="w1")
+    assert [item.job_id for item in jobs_to_stop(registry(flexible, due_soon), 0.9, 0.0)] == [
+        "free"
+    ]
+    waiting = registry(job("free"), job("pressed", 12))
     assert [item.job_id for item, _ in jobs_to_start(waiting, workers(), 0.9, 0.0)] == ["pressed"]
 
 
-def test_a_declaration_that_was_wrong_is_not_trusted_again() -> None:
+def test_measured_size_replaces_a_wrong_declaration() -> None:
     running = job("a", state=JobState.RUNNING, worker="w0")
     report = TaskReport(TaskState.RUNNING, 1.0, 0.0, 8.0)
-    learned = apply_report(book(running), running, report)
+    learned = apply_report(registry(running), running, report)
     assert learned.expected_cores(job("b")) > 4.0
     assert jobs_to_start(replace(learned, jobs={"b": job("b")}), workers(), 0.0, 0.0) == []
 
 
-def test_a_job_that_fails_everywhere_gets_its_final_error() -> None:
-    book_now, current = book(job("bad")), job("bad")
+def test_a_job_that_fails_on_several_workers_fails_finally() -> None:
+    current_registry, current = registry(job("bad")), job("bad")
     for number in range(3):
         current = replace(current, state=JobState.RUNNING, worker=f"w{number}")
-        book_now = apply_report(book_now, current, TaskReport(TaskState.FAILED, 0, 0, 0))
-        current = book_now.jobs["bad"]
+        current_registry = apply_report(
+            current_registry, current, TaskReport(TaskState.FAILED, 0, 0, 0)
+        )
+        current = current_registry.jobs["bad"]
     assert current.state is JobState.FAILED
     assert "w0, w1, w2" in current.error
 
 
-def test_a_worker_that_fails_everything_is_left_out() -> None:
+def test_a_worker_that_fails_every_job_is_excluded() -> None:
     failed = [job(f"j{number}", failed_on=("w0",)) for number in range(3)]
-    assert book(*failed).left_out() == {"w0"}
-    assert book(*failed, succeeded_on={"w0": 1}).left_out() == set()
-    assert all(worker == "w1" for _, worker in jobs_to_start(book(*failed), workers(), 0.0, 0.0))
+    assert registry(*failed).excluded_workers() == {"w0"}
+    assert registry(*failed, succeeded_on={"w0": 1}).excluded_workers() == set()
+    assert all(
+        worker == "w1" for _, worker in jobs_to_start(registry(*failed), workers(), 0.0, 0.0)
+    )
 
 
-def test_a_lost_task_goes_on_from_its_checkpoint() -> None:
+def test_a_lost_task_continues_from_its_checkpoint() -> None:
     running = job("a", state=JobState.RUNNING, worker="w0", attempt=1)
-    after = apply_report(book(running), running, TaskReport(TaskState.LOST, 6.0, 5.0, 1.0))
+    after = apply_report(registry(running), running, TaskReport(TaskState.LOST, 6.0, 5.0, 1.0))
     assert after.jobs["a"].state is JobState.WAITING
     assert after.jobs["a"].checkpoint == 5.0
 
 
-def test_a_book_survives_the_store() -> None:
-    one = book(job("a", failed_on=("w0",)), size_ratio={"rebuild": 2.0}, succeeded_on={"w1": 3})
+def test_the_job_registry_survives_serialisation() -> None:
+    one = registry(job("a", failed_on=("w0",)), size_ratio={"rebuild": 2.0}, succeeded_on={"w1": 3})
     assert JobRegistry.from_bytes(one.to_bytes()) == one
 
 
@@ -94,29 +100,31 @@
     return {row["job"]: row["state"] for row in fleet.cli("job", "list")}
 
 
-def running_well(fleet: Fleet) -> int:
-    """Count the jobs that run on workers which do not fail everything."""
+def count_running_on_good_workers(fleet: Fleet) -> int:
+    """Return the number of jobs running on workers that do not fail every job."""
     rows = fleet.cli("job", "list")
     return sum(row["state"] == "running" and row["worker"].startswith("good") for row in rows)
 
 
-def job_runner(fleet: Fleet) -> EntryHandle:
-    """Return the entry that starts jobs."""
+def find_job_runner(fleet: Fleet) -> EntryHandle:
+    """Return the entry with the role of job runner."""
 
     def active(entry: EntryHandle) -> bool:
         lines = [line for line in entry.process.log_text.splitlines() if '"job runner"' in line]
         return bool(lines) and '"active"' in lines[-1] and entry.process.running
 
-    wait_until(lambda: any(active(entry) for entry in fleet.entries.values()), "one runs jobs")
+    wait_until(
+        lambda: any(active(entry) for entry in fleet.entries.values()), "an entry is the job runner"
+    )
     return next(entry for entry in fleet.entries.values() if active(entry))
 
 
-def test_each_job_is_done_once_through_a_peak_and_a_killed_runner(tmp_path: Path) -> None:
-    """Jobs run, a peak of urgent work begins, and the entry that starts jobs is killed.
+def test_each_job_completes_once_despite_a_peak_and_a_killed_runner(tmp_path: Path) -> None:
+    """A peak of urgent work begins while jobs run, and the entry that runs jobs is killed.
 
-    The jobs must give way, go on from their checkpoints afterwards, and each be done once; the
-    one that can never run gets its final error, and the worker that fails everything no more.
-    None comes further than half its work before the peak, however late that is.
+    The jobs must be stopped, continue from their checkpoints afterwards and complete exactly once.
+    The job that can never succeed gets its final error, and the worker that fails every job gets no
+    more. No job completes more than half of its work before the peak, however late that is.
     """
     workers_document = {
         "good-1": {"cores": 4},
@@ -140,7 +148,7 @@
         }
         workers_now = {"workers": workers_document, "broken_jobs": [jobs["broken"]]}
         fleet.set_up_workers(**workers_now, held=True)
-        wait_until(lambda: running_well(fleet) >= 3, "jobs run")
+        wait_until(lambda: count_running_on_good_workers(fleet) >= 3, "jobs are running")
         callers = SteadyCallers(
             list(fleet.entries.values()),
             lambda n: Call(mark=f"m{n}", run_seconds=0.6, timeout=5.0),
@@ -148,15 +156,15 @@
         )
 
         def peak() -> None:
-            wait_until(lambda: fleet.finished_jobs()["stops"] > 0, "jobs give way")
+            wait_until(lambda: fleet.finished_jobs()["stops"] > 0, "jobs are stopped")
             fleet.set_up_workers(**workers_now)
-            killed = job_runner(fleet)
+            killed = find_job_runner(fleet)
             callers.leave(killed)
             killed.process.kill()
 
         during_load(callers, peak)
         ended = {"done", "failed"}
-        wait_until(lambda: set(states(fleet).values()) <= ended, "all jobs end", bound=60.0)
+        wait_until(lambda: set(states(fleet).values()) <= ended, "all jobs have ended", bound=60.0)
         good = sorted(jobs[kind] for kind in kinds)
         assert sorted(fleet.finished_jobs()["finished"]) == good
         assert states(fleet)[jobs["broken"]] == "failed"
--- a/vanillawell/tests/limit_proof_tests.py
+++ b/vanillawell/tests/limit_proof_tests.py
@@ -1,6 +1,6 @@
-"""Prove that no organisation has more running than its upper limit, through every kind of fault.
+"""Test that no organisation exceeds its upper limit of running requests during faults.
 
-The backend stand-ins count at every moment how many requests of the organisation run in the whole
+The backend stand-ins continuously count the running requests of the organisation in the whole
 fleet.
 """
 
@@ -48,7 +48,7 @@
 
 
 def long_call(number: int) -> Call:
-    """Return a request that runs nearly as long as the fleet allows."""
+    """Return a request that runs almost as long as the fleet allows."""
     return Call(mark=f"m{number}", run_seconds=1.6, timeout=6.0)
 
 
@@ -58,21 +58,21 @@
     make_call: Callable[[int], Call] = call,
     answers: int = 40,
 ) -> None:
-    """Keep far more requests open than the limit allows while a script plays faults."""
+    """Keep far more requests open than the limit allows while a script injects faults."""
     callers = SteadyCallers(list(fleet.entries.values()), make_call, open_requests=30)
 
-    def whole() -> None:
+    def run_script() -> None:
         wait_for_answers(callers, answers, "requests are answered before any fault")
         script(callers)
         wait_for_answers(callers, answers, "requests are answered after the faults")
 
-    during_load(callers, whole)
+    during_load(callers, run_script)
     counts = fleet.backend_counts()
     assert counts["most_running"]["guild"] <= LIMIT
-    assert counts["most_running"]["guild"] >= LIMIT - 1, "the limit was hardly used"
+    assert counts["most_running"]["guild"] >= LIMIT - 1, "too little of the limit was used"
 
 
-def outage_and_lost_answers(fleet: Fleet) -> Iterator[Callable[[SteadyCallers], None]]:
+def store_fault_scripts(fleet: Fleet) -> Iterator[Callable[[SteadyCallers], None]]:
     def outage(callers: SteadyCallers) -> None:
         fleet.store_faults(down=True)
         wait_for_answers(callers, 60, "requests are answered without the store")
@@ -93,25 +93,26 @@
 
 
 def test_store_outages_slow_and_lost_answers_never_exceed_the_limit(tmp_path: Path) -> None:
-    """The store goes down, answers late, or applies writes whose answers never arrive.
+    """The store goes down, answers late, or applies writes whose responses are lost.
 
-    An entry that believed such a write to have failed would use units that it gave away, and
-    the organisation would have more running than operators allow.
+    An entry that assumed such a write to have failed would use units that it has released, and the
+    organisation would exceed its limit.
     """
     with running_fleet(tmp_path, **LONG_TERM) as fleet:
 
         def script(callers: SteadyCallers) -> None:
-            for fault in outage_and_lost_answers(fleet):
+            for fault in store_fault_scripts(fleet):
                 fault(callers)
 
         under_load(fleet, script)
 
 
-def test_a_cut_off_zone_goes_on_within_what_it_holds(tmp_path: Path) -> None:
-    """A zone loses the store and all other zones, and callers go on in every zone.
+def test_an_isolated_zone_continues_within_its_units(tmp_path: Path) -> None:
+    """A zone is disconnected from the store and all other zones while requests arrive in every
+    zone.
 
-    If others took its units while it uses them, the organisation would exceed its limit; if it
-    stopped at once, its callers would be refused for as long as the cut lasts.
+    If other zones took its units while it uses them, the organisation would exceed its limit. If
+    the zone stopped at once, its requests would be refused for as long as it is isolated.
     """
     with running_fleet(tmp_path, **LONG_TERM, fleet_settings={"reserve": 1.0}) as fleet:
 
@@ -127,20 +128,20 @@
             entry = fleet.entries["entry-1-1"]
             wait_until(
                 lambda: send_one(entry, Call(run_seconds=0.01)).status == 200,
-                "the cut-off zone answers",
+                "the isolated zone answers",
             )
-            wait_for_answers(callers, 60, "all zones answer during the cut")
+            wait_for_answers(callers, 60, "all zones answer during the isolation")
             for name in ("store", "out", "in"):
                 fleet.clear(name)
 
         under_load(fleet, script)
 
 
-def test_killed_entries_do_not_free_units_that_still_run(tmp_path: Path) -> None:
-    """An entry is killed while its requests run at backend servers, and starts again.
+def test_units_of_killed_entries_stay_charged_while_their_requests_run(tmp_path: Path) -> None:
+    """An entry is killed while its requests run at backend servers, and restarts.
 
-    Its new process, or any other entry, that used its units at once would run more than the
-    limit, since what the killed one had sent goes on running.
+    If its new process or another entry used its units at once, the limit would be exceeded, because
+    the requests sent before the kill are still running.
     """
     with running_fleet(tmp_path, **THREE_ZONES) as fleet:
 
@@ -148,42 +149,43 @@
             for name in ("entry-1-1", "entry-2-1"):
                 fleet.entries[name].process.kill()
                 fleet.entries[name].process.start()
-                wait_until(lambda n=name: fleet.entries[n].ready, "it is ready again")  # type: ignore[misc]
+                wait_until(lambda n=name: fleet.entries[n].ready, "the entry is ready again")  # type: ignore[misc]
             time.sleep(HOLDING_TERM)
 
         under_load(fleet, script, long_call, answers=6)
 
 
-def test_units_of_an_instance_that_is_gone_for_good_come_back(tmp_path: Path) -> None:
+def test_units_of_a_permanently_lost_instance_are_reallocated(tmp_path: Path) -> None:
     """An entry's instance fails and is replaced under another name, so it never registers again.
 
-    Its units must come back long before its term of a minute ends, but not while what it sent
-    may still run; else its organisation lacks a part of its limit, or exceeds it.
+    Its units must be available long before its term of a minute ends, but not while its requests
+    may still run. Otherwise the organisation lacks a part of its limit, or exceeds it.
     """
     with running_fleet(tmp_path, **LONG_TERM) as fleet:
 
         def script(callers: SteadyCallers) -> None:
-            gone = busiest(fleet)
-            callers.leave(gone)
-            fleet.end_for_good(gone)
-            others = [entry for entry in fleet.entries.values() if entry is not gone]
+            lost_entry = busiest(fleet)
+            callers.leave(lost_entry)
+            fleet.end_for_good(lost_entry)
+            others = [entry for entry in fleet.entries.values() if entry is not lost_entry]
             wait_until(
-                lambda: sum(units_held(entry) for entry in others) == LIMIT, "all units are back"
+                lambda: sum(units_held(entry) for entry in others) == LIMIT,
+                "all units are held by other entries",
             )
 
         under_load(fleet, script, long_call, answers=6)
 
 
 def busiest(fleet: Fleet) -> EntryHandle:
-    """Return the entry that holds most units now."""
+    """Return the entry that holds the most units."""
     return max(fleet.entries.values(), key=units_held)
 
 
-def test_a_paused_entry_does_not_use_units_that_lapsed(tmp_path: Path) -> None:
-    """An entry is paused beyond its term, others take over its units, and it wakes.
+def test_a_paused_entry_does_not_use_expired_units(tmp_path: Path) -> None:
+    """An entry is paused beyond its term, others take over its units, and it resumes.
 
-    It wakes with requests in its queue and does not know that time has passed. If it used its
-    units before it asked again, the organisation would exceed its limit.
+    It has queued requests and does not know that time has passed. If it used its units before it
+    renewed them, the organisation would exceed its limit.
     """
     with running_fleet(tmp_path, **THREE_ZONES) as fleet:
 
@@ -196,10 +198,10 @@
         under_load(fleet, script)
 
 
-def test_a_lowered_limit_holds_before_units_are_given_back(tmp_path: Path) -> None:
-    """Operators lower a limit while all units are out and in use.
+def test_a_lowered_limit_holds_before_units_are_released(tmp_path: Path) -> None:
+    """Operators lower a limit while all units are granted and in use.
 
-    Requests that run are not cut, but nothing new may start above the new limit.
+    Running requests are not cancelled, but none may start above the new limit.
     """
     with running_fleet(tmp_path, **THREE_ZONES) as fleet:
         callers = SteadyCallers(list(fleet.entries.values()), call, open_requests=30)
@@ -207,7 +209,7 @@
         def script() -> None:
             wait_for_answers(callers, 60, "requests are answered under the old limit")
             fleet.cli("node", "set", "guild", "limit=3", "--wait")
-            wait_until(lambda: fleet.backend_counts()["running"]["guild"] <= 3, "old ones end")
+            wait_until(lambda: fleet.backend_counts()["running"]["guild"] <= 3, "old requests end")
             fleet.reset_backend()
             wait_for_answers(callers, 60, "requests are answered under the new limit")
             assert fleet.backend_counts()["most_running"]["guild"] <= 3
