--- a/vanillawell/state/pool_sizing.py
+++ b/vanillawell/state/pool_sizing.py
@@ -1,7 +1,7 @@
 """Decide which machines move between pools so that capacity follows demand.
 
 The queues peak in turn: within four or five seconds a queue's demand exceeds the capacity of its
-own machines and falls again, while the others need a twentieth of theirs. Machines in a standby
+own machines and falls again, while the other queues need a twentieth of that. Machines in a standby
 pool cost nothing, and a machine that is moved starts to work in less than two seconds. By then a
 growing peak needs more than when the move was ordered, so growth is provided for in advance; the
 objectives leave too little slack to catch up afterwards.
