--- a/vanillawell/coordination/drain_runner.py
+++ b/vanillawell/coordination/drain_runner.py
@@ -67,7 +67,7 @@
             self._tell(executor, "waits for the store", now)
             return
         runs = runs_to_stop(
-            executor, lambda run: self._shard.has_place(run, now), self._kill_grace, now
+            executor, lambda run: self._shard.can_place_elsewhere(run, now), self._kill_grace, now
         )
         for run in runs:
             self._stop(executor, run, now)
@@ -81,7 +81,7 @@
             return "empty"
         if stop_deadline_reached(executor, self._kill_grace, now):
             return "all stopped"
-        return "moving" if any(run.stop_wanted for run in left) else "held"
+        return "moving" if any(run.stop_requested for run in left) else "held"
 
     def _stop(self, executor: Executor, run: Run, now: float) -> None:
         soon = stop_deadline_reached(executor, self._kill_grace, now)
@@ -89,7 +89,7 @@
         fields = {"job": task_id.job_id, "task": task_id[1:], "run": run.number}
         why = "executor leaves soon" if soon else "place elsewhere"
         log.info("task moved", extra={**fields, **self._describe(executor, now), "why": why})
-        self._shard.want_stop(run)
+        self._shard.request_stop(run)
 
     def _tell(self, executor: Executor, outcome: str, now: float) -> None:
         """Log how far an executor is emptied, once for each change."""
@@ -114,6 +114,6 @@
             "runs": len(executor.runs),
             "lasting": len(long_running_runs(executor)),
             "remaining": round(time_left(executor, now), 3),
-            "age": round(now - executor.told_at, 3),
+            "age": round(now - executor.departure_reported_at, 3),
             "token": self._term.token,
         }
--- a/vanillawell/coordination/loss_watch.py
+++ b/vanillawell/coordination/loss_detector.py
@@ -36,7 +36,7 @@
 """Seconds between other readings of the list while there is doubt; readings are priced."""
 
 
-class LossWatch:
+class LossDetector:
     """End the lives of executors that run nothing any more, for one term."""
 
     def __init__(self, shard: Shard, machines: MachineCalls, wake: Callable[[], None]) -> None:
@@ -83,11 +83,11 @@
         fields = {"executor": executor.name, "machine": executor.facts.machine, "reason": reason}
         figures = {"runs": len(executor.runs), "age": round(now - requested_at, 3)}
         log.warning("executor has ended", extra={**fields, **figures})
-        self._shard.dead(executor.name, executor.facts.incarnation, now, time.time())
+        self._shard.mark_terminated(executor.name, executor.facts.incarnation, now, time.time())
         self._wake()
 
 
-async def tell_unreached(shard: Shard, token: int) -> None:
+async def log_unreached_executors(shard: Shard, token: int) -> None:
     """Log which executors with work of former terms have not reported, and what is waited for.
 
     Their tasks start elsewhere only after that time, and nothing else would tell why.
@@ -98,6 +98,6 @@
         if executor.contacted or not executor.runs:
             continue
         fields = {"executor": executor.name, "token": token, "registered": executor.registered}
-        left = round(max(0.0, executor.lease_over - now), 3)
+        left = round(max(0.0, executor.lease_expires_at - now), 3)
         figures = {"runs": len(executor.runs), "lease_left": left}
         log.warning("executor not reached", extra={**fields, **figures})
--- a/vanillawell/coordination/registry.py
+++ b/vanillawell/coordination/registry.py
@@ -9,7 +9,7 @@
 import anyio
 
 from vanillawell import clock
-from vanillawell.coordination.follow import PrefixFollower
+from vanillawell.coordination.prefix_watch import PrefixWatch
 from vanillawell.exceptions import StoreError
 
 if TYPE_CHECKING:
@@ -35,7 +35,7 @@
 one, these writes cost a fleet's owner hundreds of calls a second."""
 
 
-class RegistryFollower:
+class RegistryWatch:
     """Tell a shard what executors say of themselves."""
 
     def __init__(self, ports: Ports, prefix: str, shard: Shard, wake: Callable[[], None]) -> None:
@@ -43,7 +43,7 @@
         self._prefix = prefix
         self._shard = shard
         self._wake = wake
-        self._follower = PrefixFollower(
+        self._follower = PrefixWatch(
             ports.store, prefix, FOLLOW_WAIT, self._take_listing, self._take_changes
         )
         self._listed = anyio.Event()
@@ -77,7 +77,7 @@
 
     def _take_listing(self, listing: Listing) -> None:
         present = {item.key.removeprefix(self._prefix) for item in listing.items}
-        for name in self._shard.ledger.known_entries() - present:
+        for name in self._shard.ledger.tracked_registrations() - present:
             self._unregister(name)
         for item in listing.items:
             self._register(item.key, item.value)
@@ -102,7 +102,7 @@
         except ValueError as error:
             log.error("unreadable executor", extra={"key": key, "reason": str(error)})
             return False
-        if self._shard.ledger.is_over(facts):
+        if self._shard.ledger.is_terminated(facts):
             return False
         before = self._shard.ledger.executors.get(facts.executor)
         known = before is not None and before.registered
--- a/vanillawell/state/availability.py
+++ b/vanillawell/state/availability.py
@@ -22,7 +22,7 @@
 
 def is_running(run: Run) -> bool:
     """Return whether a long-running task was last reported as running and is not being stopped."""
-    return run.at_work and not run.stop_wanted
+    return run.is_available and not run.stop_requested
 
 
 def may_interrupt(run: Run) -> bool:
@@ -63,4 +63,4 @@
     actual state.
     """
     for run in executor.runs.values():
-        run.at_work = False
+        run.is_available = False
--- a/vanillawell/state/draining.py
+++ b/vanillawell/state/draining.py
@@ -35,13 +35,15 @@
 
 def draining_executors(executors: Iterable[Executor]) -> list[Executor]:
     """Return the executors that have announced their shutdown, in the same order for each owner."""
-    draining = [item for item in executors if item.registered and item.leaves_after is not None]
+    draining = [
+        item for item in executors if item.registered and item.earliest_departure is not None
+    ]
     return sorted(draining, key=lambda item: item.name)
 
 
 def time_left(executor: Executor, now: float) -> float:
     """Return the minimum number of seconds for which a draining executor continues to run."""
-    return max(0.0, (executor.leaves_after or 0.0) - now)
+    return max(0.0, (executor.earliest_departure or 0.0) - now)
 
 
 def stop_deadline_reached(executor: Executor, kill_grace: float, now: float) -> bool:
@@ -61,10 +63,16 @@
     progress in the first report is not used as a rate: it may be the work of earlier runs, or of
     the time before this owner took over.
     """
-    if run.reported is None or run.progressed is None or run.progressed <= run.reported:
+    if (
+        run.first_reported_at is None
+        or run.progressed_at is None
+        or run.progressed_at <= run.first_reported_at
+    ):
         return 0.0
-    max_rate = (run.percent - run.percent_at_first + 1) / (run.progressed - run.reported)
-    return (COMPLETE_PERCENT - run.percent) / max_rate - (now - run.progressed)
+    max_rate = (run.percent - run.first_reported_percent + 1) / (
+        run.progressed_at - run.first_reported_at
+    )
+    return (COMPLETE_PERCENT - run.percent) / max_rate - (now - run.progressed_at)
 
 
 def _cannot_end_in_time(run: Run, executor: Executor, now: float) -> bool:
@@ -76,13 +84,13 @@
 
 
 def runs_to_stop(
-    executor: Executor, has_place: Callable[[Run], bool], kill_grace: float, now: float
+    executor: Executor, can_place_elsewhere: Callable[[Run], bool], kill_grace: float, now: float
 ) -> list[Run]:
     """Return the runs that must be stopped now on a draining executor."""
     if not stop_deadline_reached(executor, kill_grace, now):
-        return runs_to_move(executor, has_place)
+        return runs_to_move(executor, can_place_elsewhere)
     expected_losses = long_running_runs(executor)
     expected_losses += [
         run for run in executor.runs.values() if _cannot_end_in_time(run, executor, now)
     ]
-    return [run for run in expected_losses if not run.stop_wanted]
+    return [run for run in expected_losses if not run.stop_requested]
--- a/vanillawell/state/lost_executors.py
+++ b/vanillawell/state/lost_executors.py
@@ -41,7 +41,7 @@
     return [
         item
         for item in executors
-        if item.runs and item.is_out_of_touch and now > item.known_since + MAX_LIST_LAG
+        if item.runs and item.is_unconfirmed and now > item.tracked_since + MAX_LIST_LAG
     ]
 
 
@@ -72,8 +72,8 @@
 
     Executors that may have started after the list was made are ignored, unless there are no others.
     """
-    responding = [item for item in executors if item.registered and not item.is_out_of_touch]
-    long_tracked = [item for item in responding if requested_at > item.known_since + MAX_LIST_LAG]
+    responding = [item for item in executors if item.registered and not item.is_unconfirmed]
+    long_tracked = [item for item in responding if requested_at > item.tracked_since + MAX_LIST_LAG]
     confirmed = long_tracked or responding
     listed_count = sum(item.name in running for item in confirmed)
     return bool(listed_count) and listed_count >= MIN_LISTED_PART * len(confirmed)
--- a/vanillawell/state/pacing.py
+++ b/vanillawell/state/pacing.py
@@ -58,7 +58,7 @@
         target_ratios = [
             run.tail / run.task.step.spec.tail_target
             for run in runs
-            if run.task.step.spec.tail_target and run.at_work
+            if run.task.step.spec.tail_target and run.is_available
         ]
         if not target_ratios or now - self.changed_at < MIN_CHANGE_INTERVAL:
             return
--- a/vanillawell/state/upkeep.py
+++ b/vanillawell/state/upkeep.py
@@ -198,7 +198,7 @@
     return max(1, int(part * size), math.ceil(left / rounds))
 
 
-def runs_to_move(executor: Executor, has_place: Callable[[Run], bool]) -> list[Run]:
+def runs_to_move(executor: Executor, can_place_elsewhere: Callable[[Run], bool]) -> list[Run]:
     """Return the long-running tasks that may be moved off an executor now, one of each step.
 
     A task that no other executor can take keeps running; stopped now, it would be away until
@@ -208,8 +208,8 @@
     chosen: dict[StepProgress, Run] = {}
     for run in sorted(executor.runs.values(), key=lambda run: run.task.task_id):
         step = run.task.step
-        movable = step.spec.long_running and not run.stop_wanted and step not in chosen
-        if movable and may_interrupt(run) and has_place(run):
+        movable = step.spec.long_running and not run.stop_requested and step not in chosen
+        if movable and may_interrupt(run) and can_place_elsewhere(run):
             chosen[step] = run
     return list(chosen.values())
 
--- a/vanillawell/tests/draining_tests.py
+++ b/vanillawell/tests/draining_tests.py
@@ -31,12 +31,12 @@
     await built.members[0].call(
         "POST", PREFIX + built.new_id(), job(long_running, spec={"seconds": 99})
     )
-    await until(lambda: sum(len(life.running) for life in built.lives) == 2)
+    await until(lambda: sum(len(executor.running) for executor in built.executors) == 2)
 
 
 async def _wait_until_contacted(built: Cluster, name: str) -> None:
     """Wait until the owner has contacted an executor, so that tasks can be placed there."""
-    await until(lambda: built.hosts[name].life.holds > 0)
+    await until(lambda: built.hosts[name].executor.holds > 0)
 
 
 @with_cluster(executors=1)
@@ -49,7 +49,7 @@
     await _start_long_running(built, maxUnavailable=1)
     await built.add_executor("i-1")
     await _wait_until_contacted(built, "i-1")
-    draining, other = built.hosts["i-0"].life, built.hosts["i-1"].life
+    draining, other = built.hosts["i-0"].executor, built.hosts["i-1"].executor
     built.drain("i-0", NOTICE)
     fewest = 2
     with anyio.fail_after(NOTICE - 0.5):
@@ -69,7 +69,7 @@
     await built.add_executor("i-1")
     await _wait_until_contacted(built, "i-1")
     built.drain("i-0", SHORT_NOTICE)
-    await until(lambda: len(built.hosts["i-1"].life.running) == 2, SHORT_NOTICE)
+    await until(lambda: len(built.hosts["i-1"].executor.running) == 2, SHORT_NOTICE)
     built.leave("i-0")
 
 
@@ -79,14 +79,14 @@
     before their executor ends, so that they can start without waiting for a lease as soon as there
     is free capacity."""
     await _start_long_running(built)
-    draining = built.hosts["i-0"].life
+    draining = built.hosts["i-0"].executor
     built.drain("i-0", 2.0)
     await anyio.sleep(0.9)
     assert len(draining.running) == 2
     await until(lambda: not draining.running, 1.1)
     built.leave("i-0")
     await built.add_executor("i-1")
-    await until(lambda: len(built.hosts["i-1"].life.running) == 2, 1.0)
+    await until(lambda: len(built.hosts["i-1"].executor.running) == 2, 1.0)
 
 
 @with_cluster(executors=1)
@@ -98,13 +98,13 @@
     member, job_id = built.members[0], built.new_id()
     saving = job(step(1, savesProgress=True), spec={"seconds": 4.0, "saves": True})
     await member.call("POST", PREFIX + job_id, saving)
-    draining = built.hosts["i-0"].life
+    draining = built.hosts["i-0"].executor
     await until(lambda: bool(draining.running))
     await built.add_executor("i-1")
     await _wait_until_contacted(built, "i-1")
     await anyio.sleep(0.5)
     built.drain("i-0", 1.5)
-    await until(lambda: bool(built.hosts["i-1"].life.running), 1.5)
+    await until(lambda: bool(built.hosts["i-1"].executor.running), 1.5)
     built.leave("i-0")
     assert int(built.audit.resumed[f"{job_id}.0.0.0"]) > 0
     await until_state(member, job_id, "completed", 4.0)
@@ -123,7 +123,7 @@
         await owner.node.hand_over()
         await built.kill(owner)
         await anyio.sleep(0.1)
-    await until(lambda: len(built.hosts["i-1"].life.running) == 2, NOTICE - 0.5)
+    await until(lambda: len(built.hosts["i-1"].executor.running) == 2, NOTICE - 0.5)
     built.leave("i-0")
 
 
@@ -136,7 +136,7 @@
     await _start_long_running(built)
     await built.add_executor("i-1")
     await _wait_until_contacted(built, "i-1")
-    draining, other = built.hosts["i-0"].life, built.hosts["i-1"].life
+    draining, other = built.hosts["i-0"].executor, built.hosts["i-1"].executor
     built.store.faults.refuse = True
     await anyio.sleep(1.3)
     built.drain("i-0", NOTICE)
@@ -155,7 +155,7 @@
     await _start_long_running(built)
     await built.add_executor("i-1")
     await _wait_until_contacted(built, "i-1")
-    owner, draining = await built.owner(), built.hosts["i-0"].life
+    owner, draining = await built.owner(), built.hosts["i-0"].executor
     owner.store.answer_time = 2.5
     async with anyio.create_task_group() as callers:
         callers.start_soon(owner.call, "POST", PREFIX + built.new_id(), job())
--- a/vanillawell/tests/limit_proof_tests.py
+++ b/vanillawell/tests/limit_proof_tests.py
@@ -14,7 +14,7 @@
 from vanillawell.tests.caller import Call
 from vanillawell.tests.fleet_base import (
     SteadyCallers,
-    during_load,
+    run_during_load,
     running_fleet,
     send_one,
     units_held,
@@ -66,7 +66,7 @@
         script(callers)
         wait_for_answers(callers, answers, "requests are answered after the faults")
 
-    during_load(callers, run_script)
+    run_during_load(callers, run_script)
     counts = fleet.backend_counts()
     assert counts["most_running"]["guild"] <= LIMIT
     assert counts["most_running"]["guild"] >= LIMIT - 1, "too little of the limit was used"
@@ -165,7 +165,7 @@
 
         def script(callers: SteadyCallers) -> None:
             lost_entry = busiest(fleet)
-            callers.leave(lost_entry)
+            callers.remove_entry(lost_entry)
             fleet.end_for_good(lost_entry)
             others = [entry for entry in fleet.entries.values() if entry is not lost_entry]
             wait_until(
@@ -214,4 +214,4 @@
             wait_for_answers(callers, 60, "requests are answered under the new limit")
             assert fleet.backend_counts()["most_running"]["guild"] <= 3
 
-        during_load(callers, script)
+        run_during_load(callers, script)
--- a/vanillawell/tests/upkeep_tests.py
+++ b/vanillawell/tests/upkeep_tests.py
@@ -14,7 +14,7 @@
     may_begin_upkeep,
     runs_to_move,
 )
-from vanillawell.tests.scheduling_builders import Bench, facts, job, step
+from vanillawell.tests.scheduling_builders import ShardHarness, facts, job, step
 
 if TYPE_CHECKING:
     from vanillawell.state.work import Run
@@ -66,10 +66,10 @@
 
 
 def test_idle_machines_come_first_and_one_of_each_service_at_a_time() -> None:
-    bench = Bench(facts("i-0"), facts("i-1"), facts("i-2", service="other"))
-    bench.admit(job(step(1)))
-    bench.place()
-    machines = bench.shard.ledger.by_machine()
+    harness = ShardHarness(facts("i-0"), facts("i-1"), facts("i-2", service="other"))
+    harness.admit(job(step(1)))
+    harness.place()
+    machines = harness.shard.ledger.by_machine()
     chosen = machines_to_close(_progress(*machines, most_away=3), machines, 0.0)
     assert len(chosen) == 2
     idle = next(name for name in ("m-i-0", "m-i-1") if not machines[name].runs)
@@ -79,8 +79,8 @@
 def test_a_large_pool_has_more_machines_emptied_at_a_time() -> None:
     """A wave includes 30 of 60 machines of a pool. Emptying takes two seconds or more for each, so
     one after the other most of them would be late."""
-    bench = Bench(*(facts(f"i-{number}") for number in range(60)))
-    machines = bench.shard.ledger.by_machine()
+    harness = ShardHarness(*(facts(f"i-{number}") for number in range(60)))
+    machines = harness.shard.ledger.by_machine()
     progress = _progress(*list(machines)[:30], most_away=20)
     progress.closed = dict.fromkeys(machines_to_close(progress, machines, 0.0), 0.0)
     assert len(progress.closed) == 6
@@ -92,10 +92,10 @@
 def test_machines_with_long_running_tasks_are_emptied_from_the_start() -> None:
     """Long-running tasks are moved one after the other, so the machines that hold them take
     longest. Left for the end of a wave, they are late if an owner is lost or the store is down."""
-    bench = Bench(facts("i-0"), facts("i-1"), facts("i-2"))
-    bench.admit(job(step(1, long_running=True)))
-    (run,) = bench.place()
-    machines = bench.shard.ledger.by_machine()
+    harness = ShardHarness(facts("i-0"), facts("i-1"), facts("i-2"))
+    harness.admit(job(step(1, long_running=True)))
+    (run,) = harness.place()
+    machines = harness.shard.ledger.by_machine()
     chosen = machines_to_close(_progress(*machines, most_away=3), machines, now=0.0)
     assert len(chosen) == 2
     assert f"m-{run.executor}" in chosen
@@ -105,19 +105,19 @@
     """Twenty machines hold tasks of four steps, and each step moves one task in 1.6 s. With two
     machines being emptied, the other steps would have no task to move and the wave would take twice
     as long."""
-    bench = Bench(*(facts(f"i-{number}") for number in range(20)))
+    harness = ShardHarness(*(facts(f"i-{number}") for number in range(20)))
     for _ in range(4):
-        bench.admit(job(step(5, cpu=8_000, long_running=True, most_away=1, most_per_executor=1)))
-    bench.place()
-    machines = bench.shard.ledger.by_machine()
+        harness.admit(job(step(5, cpu=8_000, long_running=True, most_away=1, most_per_executor=1)))
+    harness.place()
+    machines = harness.shard.ledger.by_machine()
     assert len(machines_to_close(_progress(*machines, most_away=20), machines, now=-20.0)) == 5
 
 
 def test_a_wave_that_is_behind_has_more_machines_emptied_at_a_time() -> None:
     """After several changes of owner, six machines of a pool of twelve are left shortly before the
     upkeep stops waiting for tasks. Emptied one after the other, the last would be late."""
-    bench = Bench(*(facts(f"i-{number}") for number in range(12)))
-    machines = bench.shard.ledger.by_machine()
+    harness = ShardHarness(*(facts(f"i-{number}") for number in range(12)))
+    machines = harness.shard.ledger.by_machine()
     progress = _progress(*list(machines)[:6], most_away=10)
     assert len(machines_to_close(progress, machines, now=0.0)) == 2
     assert len(machines_to_close(progress, machines, now=11.0)) == 5
@@ -127,21 +127,21 @@
 def test_a_long_running_task_moves_to_a_machine_that_does_not_await_upkeep() -> None:
     """One of two machines with free capacity has yet to be taken down. A task that moves there
     would be moved again seconds later and be away twice."""
-    bench = Bench(facts("i-0"), facts("i-1"))
-    bench.shard.ledger.executors["i-0"].awaits_upkeep = True
-    bench.admit(job(step(1, long_running=True)))
-    (run,) = bench.place()
+    harness = ShardHarness(facts("i-0"), facts("i-1"))
+    harness.shard.ledger.executors["i-0"].awaits_upkeep = True
+    harness.admit(job(step(1, long_running=True)))
+    (run,) = harness.place()
     assert run.executor == "i-1"
 
 
 def test_no_more_long_running_tasks_are_moved_than_their_step_allows() -> None:
-    bench = Bench(facts("i-0"), facts("i-1"))
-    bench.admit(job(step(2, long_running=True, most_away=1, most_per_executor=1)))
-    first, second = bench.place()
-    first.at_work = True
-    executor = bench.shard.ledger.executors[first.executor]
+    harness = ShardHarness(facts("i-0"), facts("i-1"))
+    harness.admit(job(step(2, long_running=True, most_away=1, most_per_executor=1)))
+    first, second = harness.place()
+    first.is_available = True
+    executor = harness.shard.ledger.executors[first.executor]
     assert runs_to_move(executor, _always_has_place) == []
-    second.at_work = True
+    second.is_available = True
     assert runs_to_move(executor, _always_has_place) == [first]
     assert incarnation_id(executor).startswith(executor.name)
 
@@ -150,10 +150,10 @@
     """A new owner has read the long-running tasks from the store, and no executor has reported yet.
     If a task that was not reported at work could be interrupted freely, both tasks of a step of
     which one may be away would be stopped at once."""
-    bench = Bench(facts("i-0"), facts("i-1"))
-    bench.admit(job(step(2, long_running=True, most_away=1, most_per_executor=1)))
-    first, second = bench.place()
-    executors = bench.shard.ledger.executors
+    harness = ShardHarness(facts("i-0"), facts("i-1"))
+    harness.admit(job(step(2, long_running=True, most_away=1, most_per_executor=1)))
+    first, second = harness.place()
+    executors = harness.shard.ledger.executors
     assert runs_to_move(executors[first.executor], _always_has_place) == []
     assert runs_to_move(executors[second.executor], _always_has_place) == []
 
@@ -161,22 +161,22 @@
 def test_upkeep_does_not_begin_with_two_tasks_of_a_step_if_one_may_be_away() -> None:
     """Near the end of a wave the upkeep no longer waits for tasks. Two tasks of a step share a
     machine: each alone may be away, but the upkeep would end both."""
-    bench = Bench(facts("i-0"))
-    bench.admit(job(step(2, long_running=True, most_away=1)))
-    for run in bench.place():
-        run.at_work = True
-    (executor,) = bench.shard.ledger.executors.values()
-    assert not may_begin_upkeep(executor, since=0.0, past_wait_deadline=True, now=bench.now)
+    harness = ShardHarness(facts("i-0"))
+    harness.admit(job(step(2, long_running=True, most_away=1)))
+    for run in harness.place():
+        run.is_available = True
+    (executor,) = harness.shard.ledger.executors.values()
+    assert not may_begin_upkeep(executor, since=0.0, past_wait_deadline=True, now=harness.now)
 
 
 def test_runs_that_an_unanswered_order_will_end_count_as_away() -> None:
     """A new owner repeats the orders for two machines concurrently, each with a task of a step of
     which one may be away. The first order is unanswered when the second is about to be sent."""
-    bench = Bench(facts("i-0"), facts("i-1"))
-    bench.admit(job(step(2, long_running=True, most_away=1, most_per_executor=1)))
-    for run in bench.place():
-        run.at_work = True
-    first, second = bench.shard.ledger.executors.values()
+    harness = ShardHarness(facts("i-0"), facts("i-1"))
+    harness.admit(job(step(2, long_running=True, most_away=1, most_per_executor=1)))
+    for run in harness.place():
+        run.is_available = True
+    first, second = harness.shard.ledger.executors.values()
     assert may_interrupt_all(first) and may_interrupt_all(second)
     mark_runs_away(first)
     assert not may_interrupt_all(second)
@@ -186,18 +186,18 @@
     """The machine of a long-running task is to be emptied, and every other machine has its maximum
     number of tasks of the step. Stopped now, the task would be away until another machine has
     arrived."""
-    bench = Bench(facts("i-0"), facts("i-1"))
-    bench.admit(job(step(2, long_running=True, most_away=1, most_per_executor=1)))
-    first, second = bench.place()
-    first.at_work = second.at_work = True
-    executor = bench.shard.ledger.executors[first.executor]
-
-    def has_place(run: Run) -> bool:
-        return bench.shard.has_place(run, bench.now)
-
-    assert runs_to_move(executor, has_place) == []
-    bench.register(facts("i-2"))
-    assert runs_to_move(executor, has_place) == [first]
+    harness = ShardHarness(facts("i-0"), facts("i-1"))
+    harness.admit(job(step(2, long_running=True, most_away=1, most_per_executor=1)))
+    first, second = harness.place()
+    first.is_available = second.is_available = True
+    executor = harness.shard.ledger.executors[first.executor]
+
+    def can_place_elsewhere(run: Run) -> bool:
+        return harness.shard.can_place_elsewhere(run, harness.now)
+
+    assert runs_to_move(executor, can_place_elsewhere) == []
+    harness.register(facts("i-2"))
+    assert runs_to_move(executor, can_place_elsewhere) == [first]
 
 
 def test_a_machine_with_an_unconfirmed_order_keeps_its_place() -> None:
