--- a/vanillawell/tests/upkeep_tests.py
+++ b/vanillawell/tests/upkeep_tests.py
@@ -24,7 +24,7 @@
     return WaveProgress(Wave(1, machines, 20.0, most_away), first_seen=0.0)
 
 
-def _always_has_place(run: Run) -> bool:
+def _can_always_place(run: Run) -> bool:
     return True
 
 
@@ -140,9 +140,9 @@
     first, second = harness.place()
     first.is_available = True
     executor = harness.shard.ledger.executors[first.executor]
-    assert runs_to_move(executor, _always_has_place) == []
+    assert runs_to_move(executor, _can_always_place) == []
     second.is_available = True
-    assert runs_to_move(executor, _always_has_place) == [first]
+    assert runs_to_move(executor, _can_always_place) == [first]
     assert incarnation_id(executor).startswith(executor.name)
 
 
@@ -154,8 +154,8 @@
     harness.admit(job(step(2, long_running=True, most_away=1, most_per_executor=1)))
     first, second = harness.place()
     executors = harness.shard.ledger.executors
-    assert runs_to_move(executors[first.executor], _always_has_place) == []
-    assert runs_to_move(executors[second.executor], _always_has_place) == []
+    assert runs_to_move(executors[first.executor], _can_always_place) == []
+    assert runs_to_move(executors[second.executor], _can_always_place) == []
 
 
 def test_upkeep_does_not_begin_with_two_tasks_of_a_step_if_one_may_be_away() -> None:
