--- a/vanillawell/coordination/advice_desk.py
+++ b/vanillawell/coordination/advice_requester.py
@@ -47,7 +47,7 @@
     executors: Sequence[str]
 
 
-class AdviceDesk:
+class AdviceRequester:
     """Ask for one step at a time: the service answers one call of each machine after the other.
 
     Asked for are steps with tasks that wait, and those with lasting tasks that have to go
--- a/vanillawell/coordination/turn_batch.py
+++ b/vanillawell/coordination/cycle_batch.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True)
-class TurnPart:
+class CycleTransaction:
     """One transaction, and what it allows."""
 
     puts: list[Put] = field(default_factory=list)
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True)
-class TurnBatch:
+class CycleBatch:
     """Everything that one turn has to store."""
 
     records: dict[str, bytes]
@@ -51,7 +51,7 @@
     keys: WorkKeys
 
     @classmethod
-    def collect(cls, shard: Shard, keys: WorkKeys, wall: float) -> TurnBatch:
+    def collect(cls, shard: Shard, keys: WorkKeys, wall: float) -> CycleBatch:
         """Take everything out of the shard's outbox."""
         changed, shard.board.changed = shard.board.changed, {}
         outbox = shard.outbox
@@ -75,16 +75,18 @@
         """Tell whether there is nothing to store."""
         return not (self.records or self.deletes or self.planned or self.ends)
 
-    def parts(self, extra: Iterable[Put]) -> Iterator[TurnPart]:
+    def parts(self, extra: Iterable[Put]) -> Iterator[CycleTransaction]:
         """Yield transactions; `extra` goes into the first.
 
         Ends become confirmable with the last one: which job an end belongs to does not matter
         then, and all of them are stored.
         """
         parts = [self._records_part(chunk) for chunk in self._record_chunks()]
-        parts.extend(TurnPart(deletes=chunk) for chunk in _chunks(self.deletes, ENTRIES_AT_ONCE))
+        parts.extend(
+            CycleTransaction(deletes=chunk) for chunk in _chunks(self.deletes, ENTRIES_AT_ONCE)
+        )
         if not parts:
-            parts.append(TurnPart())
+            parts.append(CycleTransaction())
         parts[0].puts.extend(extra)
         parts[-1].ends = self.ends
         yield from parts
@@ -103,12 +105,12 @@
         if chunk:
             yield chunk
 
-    def _records_part(self, job_ids: list[str]) -> TurnPart:
+    def _records_part(self, job_ids: list[str]) -> CycleTransaction:
         deletes = [key for job_id in job_ids for key in self.taken.get(job_id, ())]
         puts = [Put(self.keys.record(job_id), self.records[job_id]) for job_id in job_ids]
         chosen = set(job_ids)
         planned = [run for run in self.planned if run.task.task_id.job_id in chosen]
-        return TurnPart(puts=puts, deletes=deletes, planned=planned)
+        return CycleTransaction(puts=puts, deletes=deletes, planned=planned)
 
 
 def _chunks(items: Iterable[str], size: int) -> Iterator[list[str]]:
--- a/vanillawell/coordination/turn_log.py
+++ b/vanillawell/coordination/cycle_log.py
@@ -21,12 +21,12 @@
 """Tasks told in one line, some two kilobytes."""
 
 
-def tell_started(runs: Sequence[Run], token: int) -> None:
+def log_started_tasks(runs: Sequence[Run], token: int) -> None:
     """Tell which tasks start where; rows hold the task's id, its run and the executor."""
     _tell("tasks started", [[*run.task.task_id, run.number, run.executor] for run in runs], token)
 
 
-def tell_done(tasks: Sequence[DoneTask], token: int) -> None:
+def log_done_tasks(tasks: Sequence[DoneTask], token: int) -> None:
     """Tell which tasks are done; rows hold the id, run, executor and seconds from its start."""
     _tell("tasks done", [[*item.task_id, *item[1:]] for item in tasks], token)
 
--- a/vanillawell/coordination/executor_driver.py
+++ b/vanillawell/coordination/executor_driver.py
@@ -74,7 +74,7 @@
         """Look again at whether there is something to do."""
         self._news.set()
 
-    def look(self) -> None:
+    def wake_if_needed(self) -> None:
         """Go on if there is something to do by now; cheap enough for each turn."""
         if self._idle and self._wants_hold():
             self._news.set()
--- a/vanillawell/coordination/former_orders.py
+++ b/vanillawell/coordination/former_orders.py
@@ -52,7 +52,7 @@
         backoff = Backoff()
         while not await orders.load():
             await backoff.wait()
-        pending = orders.pending_of_former(clock.read())
+        pending = orders.pending_of_previous_owner(clock.read())
         self._shard.ledger.withhold(pending)
         if pending:
             some = sorted(pending)[:NAMES_TOLD]
--- a/vanillawell/coordination/loss_watch.py
+++ b/vanillawell/coordination/loss_detector.py
@@ -36,7 +36,7 @@
 """Seconds between other readings of the list while there is doubt; readings are priced."""
 
 
-class LossWatch:
+class LossDetector:
     """End the lives of executors that run nothing any more, for one term."""
 
     def __init__(self, shard: Shard, machines: MachineCalls, wake: Callable[[], None]) -> None:
@@ -85,7 +85,7 @@
         self._wake()
 
 
-async def tell_unreached(shard: Shard, token: int) -> None:
+async def log_unreached_executors(shard: Shard, token: int) -> None:
     """Log which executors with work of former terms have not reported, and what is waited for.
 
     Their tasks start elsewhere only after that time, and nothing else would tell why.
--- a/vanillawell/coordination/machine_orders.py
+++ b/vanillawell/coordination/machine_orders.py
@@ -38,7 +38,7 @@
 ORDER_FRESHNESS = 0.5
 """Seconds after its announcement within which an order has to be sent, while the store is quick."""
 
-LONGEST_FRESHNESS = 3.0
+MAX_ORDER_FRESHNESS = 3.0
 """Seconds to which that bound grows while the store is slow."""
 
 ARRIVAL_BOUND = 4.0
@@ -112,7 +112,7 @@
             # Damaged, or of an earlier version: any machine may have been ordered just now.
             log.error("former orders unreadable", extra={"why": repr(error)})
             self._former_pools = {}
-            self._former, self._all_free_at = {}, self._began + self._pause + LONGEST_FRESHNESS
+            self._former, self._all_free_at = {}, self._began + self._pause + MAX_ORDER_FRESHNESS
         return True
 
     def _take_former(self, value: bytes) -> None:
@@ -121,7 +121,7 @@
         pools = document.get("pools", {}).items()  # former versions did not store them
         self._former_pools = {str(name): str(pool) for name, pool in pools}
         self._former = {str(name): float(age) for name, age in document["machines"].items()}
-        self._former_freshness = float(document.get("freshness", LONGEST_FRESHNESS))
+        self._former_freshness = float(document.get("freshness", MAX_ORDER_FRESHNESS))
         clocks = document["clocks"].items()
         self._former_clocks = {str(life): float(reading) for life, reading in clocks}
 
@@ -138,7 +138,7 @@
             return True
         return age + self._since_former(now) > self._pause + self._former_freshness
 
-    def pending_of_former(self, now: float) -> dict[str, str]:
+    def pending_of_previous_owner(self, now: float) -> dict[str, str]:
         """Return the machines for which orders of a former owner may take effect yet.
 
         Each with the pool that it goes to; "" if the order does not change its pool, or an earlier
@@ -150,7 +150,7 @@
             if not self.is_over(name, now)
         }
 
-    def ordered_by_former(self, now: float) -> set[str]:
+    def ordered_by_previous_owner(self, now: float) -> set[str]:
         """Return the machines of a former owner's latest orders that may still be on their way."""
         passed = self._since_former(now)
         former = self._former or {}
@@ -213,7 +213,7 @@
         With half a second in any case, a slow store let no order go out for as long as it was slow,
         and a peak's pool stayed at half of what it asked for.
         """
-        wanted = min(LONGEST_FRESHNESS, WRITES_ALLOWED * took)
+        wanted = min(MAX_ORDER_FRESHNESS, WRITES_ALLOWED * took)
         if wanted > self._freshness:
             self._freshness = wanted
             log.info("orders get more time", extra={"freshness": round(wanted, 3)})
--- a/vanillawell/coordination/pool_runner.py
+++ b/vanillawell/coordination/pool_rebalancer.py
@@ -55,7 +55,7 @@
 """Seconds after which a machine that was sent to the standby pool may be taken out again."""
 
 
-class PoolRunner:
+class PoolRebalancer:
     """Own the moves of one term."""
 
     def __init__(
@@ -116,7 +116,7 @@
             self._take_over_moves(lives, now)
         self._note_arrivals(standby, lives, now)
         on_their_way = {name: pool for name, (pool, _) in self._arriving.items()}
-        ordered = self._orders.ordered_by_former(now)
+        ordered = self._orders.ordered_by_previous_owner(now)
         view = MachineView(lives, self._machines, on_their_way, ordered)
         pools = self._demand.measure(policy, standby, view, now)
         self._log_needs(pools)
--- a/vanillawell/coordination/shard_owner.py
+++ b/vanillawell/coordination/shard_owner.py
@@ -11,8 +11,9 @@
 import orjson
 
 from vanillawell import clock
-from vanillawell.coordination import loop_lag, turn_log
-from vanillawell.coordination.advice_desk import AdviceDesk
+from vanillawell.coordination import cycle_log, loop_lag
+from vanillawell.coordination.advice_requester import AdviceRequester
+from vanillawell.coordination.cycle_batch import CycleBatch
 from vanillawell.coordination.drain_runner import DrainRunner
 from vanillawell.coordination.driver_clocks import DriverClocks
 from vanillawell.coordination.executor_driver import ExecutorDriver
@@ -23,12 +24,11 @@
 from vanillawell.coordination.inbox import Inbox
 from vanillawell.coordination.lease_keeper import LeaseKeeper
 from vanillawell.coordination.leases import longest_doubt
-from vanillawell.coordination.loss_watch import LossWatch, tell_unreached
+from vanillawell.coordination.loss_detector import LossDetector, log_unreached_executors
 from vanillawell.coordination.machine_orders import MachineOrders
-from vanillawell.coordination.pool_runner import PoolRunner
+from vanillawell.coordination.pool_rebalancer import PoolRebalancer
 from vanillawell.coordination.registry import RegistryFollower
 from vanillawell.coordination.stop_sender import StopSender
-from vanillawell.coordination.turn_batch import TurnBatch
 from vanillawell.coordination.upkeep_runner import UpkeepRunner
 from vanillawell.exceptions import StoreError
 from vanillawell.protocol.queue_documents import read_queues, write_queues
@@ -154,7 +154,7 @@
             self._policies.remove_listener(self._apply_policy)
 
     def _start_tasks(self, tasks: TaskGroup) -> None:
-        tasks.start_soon(tell_unreached, self._shard, self._term.token)
+        tasks.start_soon(log_unreached_executors, self._shard, self._term.token)
         tasks.start_soon(loop_lag.watch, "owner")
         registry = RegistryFollower(
             self._ports, self._ports.documents.keys.executors, self._shard, self.wake
@@ -179,8 +179,8 @@
             self.wake,
             self._clocks,
         )
-        pools = PoolRunner(self._shard, self._term, self._ports, orders, self.wake)
-        losses = LossWatch(self._shard, self._ports.machines, self.wake)
+        pools = PoolRebalancer(self._shard, self._term, self._ports, orders, self.wake)
+        losses = LossDetector(self._shard, self._ports.machines, self.wake)
         tasks.start_soon(losses.run)
         tasks.start_soon(self._inbox.run)
         tasks.start_soon(self._former_orders.run, orders)
@@ -200,7 +200,7 @@
         drains = DrainRunner(self._shard, self._term, self._bounds.kill_grace_ms / 1000, self.wake)
         tasks.start_soon(_run_after, known, drains.run)
         if self._ports.advice is not None:
-            desk = AdviceDesk(self._shard, self._ports.advice, self.wake)
+            desk = AdviceRequester(self._shard, self._ports.advice, self.wake)
             tasks.start_soon(desk.run)
 
     async def _load(self) -> None:
@@ -283,7 +283,7 @@
             self._drive(tasks)
             self._stops.send(clock.read())
             done, self._shard.outbox.done = self._shard.outbox.done, []
-            turn_log.tell_done(done, self._term.token)
+            cycle_log.log_done_tasks(done, self._term.token)
             decided = clock.read()
             await self._store_turn()
             self._log_if_slow(now, decided)
@@ -316,7 +316,7 @@
                     driver.notify()
                 driver = self._new_driver(executor, tasks)
                 self._drivers[name] = driver
-            driver.look()
+            driver.wake_if_needed()
         for name in [name for name in self._drivers if name not in executors]:
             self._drivers.pop(name).notify()
 
@@ -338,7 +338,7 @@
 
     async def _store_turn(self) -> None:
         """Store what changed, then let the starts and the confirmed ends of it go out."""
-        batch = TurnBatch.collect(self._shard, self._keys, time.time())
+        batch = CycleBatch.collect(self._shard, self._keys, time.time())
         pending = self._shard.board.pending() if self._inbox.is_read else self._published
         queues = self._shard.queues_in_use()
         due = not batch.is_empty or pending != self._published or queues != self._stored_queues
@@ -353,7 +353,7 @@
             self._telemetry.store_writes.inc({"kind": "turn"})
             for end in part.ends:
                 end.executor.unsaved_ends.discard(end.sequence)
-            turn_log.tell_started(part.planned, self._term.token)
+            cycle_log.log_started_tasks(part.planned, self._term.token)
             for run in part.planned:
                 self._submit(run, stored_at)
             self._notify(end.executor.name for end in part.ends)
--- a/vanillawell/tests/advice_desk_tests.py
+++ b/vanillawell/tests/advice_requester_tests.py
@@ -7,7 +7,7 @@
 import anyio
 
 from vanillawell import clock
-from vanillawell.coordination.advice_desk import AdviceDesk
+from vanillawell.coordination.advice_requester import AdviceRequester
 from vanillawell.state.upkeep import PATIENCE
 from vanillawell.state.work_policy import AdviceRule, Queue, Service
 from vanillawell.tests.scheduler_cluster import HINTED_PREFIX, Cluster, until, with_cluster
@@ -70,7 +70,7 @@
 
     async def work() -> None:
         with anyio.move_on_after(0.1):
-            await AdviceDesk(bench.shard, advice, lambda: None).run()
+            await AdviceRequester(bench.shard, advice, lambda: None).run()
 
     anyio.run(work)
     return advice.asked
--- a/vanillawell/tests/logs_tests.py
+++ b/vanillawell/tests/logs_tests.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from vanillawell.coordination import turn_log
+from vanillawell.coordination import cycle_log
 from vanillawell.logs import BUDGET, DROPPED_FIELD, LONGEST_QUEUE, BudgetFilter, JsonFormatter
 from vanillawell.logs import NonBlockingHandler as Handler
 from vanillawell.tests.scheduling_builders import Bench, facts, job, step
@@ -59,7 +59,7 @@
     bench.admit(wide)
     runs = bench.place()
     with caplog.at_level(logging.INFO):
-        turn_log.tell_started(runs, token=7)
+        cycle_log.log_started_tasks(runs, token=7)
     told = [row for record in caplog.records for row in record.__dict__["runs"]]
     assert len(told) == len(runs) == 1_000
     assert len(caplog.records) < BUDGET / 10
--- a/vanillawell/tests/turning_load.py
+++ b/vanillawell/tests/rotating_load.py
@@ -100,7 +100,7 @@
 
 
 @dataclass(slots=True)
-class TurningDay:
+class SimulatedDay:
     """Play one day."""
 
     rng: random.Random
--- a/vanillawell/tests/turning_peaks_tests.py
+++ b/vanillawell/tests/rotating_peaks_tests.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from vanillawell.tests.turning_load import DAY_SECONDS, Outcome, TurningDay
+from vanillawell.tests.rotating_load import DAY_SECONDS, Outcome, SimulatedDay
 
 SEEDS = range(8)
 
@@ -22,7 +22,7 @@
 
 @pytest.fixture(scope="module")
 def days() -> list[Outcome]:
-    return [TurningDay(random.Random(seed)).play() for seed in SEEDS]
+    return [SimulatedDay(random.Random(seed)).play() for seed in SEEDS]
 
 
 def _worst(day: Outcome) -> float:
--- a/vanillawell/tests/term_tests.py
+++ b/vanillawell/tests/term_tests.py
@@ -10,7 +10,7 @@
 from vanillawell.coordination import candidate as candidate_module
 from vanillawell.coordination.candidate import Candidate
 from vanillawell.coordination.machine_orders import (
-    LONGEST_FRESHNESS,
+    MAX_ORDER_FRESHNESS,
     ORDER_FRESHNESS,
     MachineOrders,
 )
@@ -127,7 +127,7 @@
                 assert not present.may_order("m-2", clock.read())
                 if value == b"{":
                     tasks.start_soon(term.keep)
-                    await anyio.sleep(0.5 + LONGEST_FRESHNESS)
+                    await anyio.sleep(0.5 + MAX_ORDER_FRESHNESS)
                     assert present.may_order("m-2", clock.read())
                 await term.give_up()
             tasks.cancel_scope.cancel()
@@ -186,7 +186,7 @@
                 shown = FixedClocks({"i-0@1": reading})
                 orders = MachineOrders(term, ports, KEYS, "all", "entry-0", 0.5, shown)
                 assert await orders.load()
-                assert orders.ordered_by_former(clock.read()) == ordered
+                assert orders.ordered_by_previous_owner(clock.read()) == ordered
                 await orders.announce({f"m-{number}": "pool-1"})
                 await term.give_up()
             tasks.cancel_scope.cancel()
@@ -214,7 +214,7 @@
                 shown = FixedClocks({"i-0@1": reading})
                 orders = MachineOrders(term, ports, KEYS, "all", "entry-0", 0.5, shown)
                 assert await orders.load()
-                assert orders.pending_of_former(clock.read()) == pending
+                assert orders.pending_of_previous_owner(clock.read()) == pending
                 await orders.announce(announced)
                 await term.give_up()
             tasks.cancel_scope.cancel()
