--- a/vanillawell/coordination/cycle_batch.py
+++ b/vanillawell/coordination/cycle_batch.py
@@ -1,4 +1,4 @@
-"""Collect what one turn of a shard's owner has to store, and what may happen only afterwards."""
+"""Collect what one scheduling cycle has to store, and what may happen only after it is stored."""
 
 from __future__ import annotations
 
@@ -17,17 +17,18 @@
     from vanillawell.state.shard import Shard
     from vanillawell.state.work import Run
 
-LARGEST_TRANSACTION = 32
-"""Entries of all kinds that the store takes in one transaction, as published."""
+MAX_TRANSACTION_ENTRIES = 32
+"""Maximum number of comparisons, writes and deletions in one transaction, as published for the
+store."""
 
-ENTRIES_AT_ONCE = LARGEST_TRANSACTION - 5
-"""Entries in one transaction, beside the term's comparison and write, the published counts, the
-rules of queues and the bounds of leases."""
+MAX_BATCH_ENTRIES = MAX_TRANSACTION_ENTRIES - 5
+"""Maximum entries per transaction, which leaves room for the term's comparison and write, the
+published job counts, the queue rules and the lease bounds."""
 
 
 @dataclass(slots=True)
 class CycleTransaction:
-    """One transaction, and what it allows."""
+    """One transaction, and the starts and confirmations that it permits."""
 
     puts: list[Put] = field(default_factory=list)
     deletes: list[str] = field(default_factory=list)
@@ -37,13 +38,13 @@
 
 @dataclass(slots=True)
 class CycleBatch:
-    """Everything that one turn has to store."""
+    """Everything that one scheduling cycle has to store."""
 
     records: dict[str, bytes]
-    """Record by job id."""
+    """Encoded job records by job id."""
 
     taken: dict[str, set[str]]
-    """Keys of the inbox by the job that they concern: what the record now holds."""
+    """Inbox keys by the job that they concern; the stored record replaces them."""
 
     deletes: list[str]
     planned: list[Run]
@@ -52,7 +53,7 @@
 
     @classmethod
     def collect(cls, shard: Shard, keys: WorkKeys, wall: float) -> CycleBatch:
-        """Take everything out of the shard's outbox."""
+        """Take all pending changes out of the shard's job table and outbox."""
         changed, shard.board.changed = shard.board.changed, {}
         outbox = shard.outbox
         planned, outbox.planned = outbox.planned, []
@@ -72,18 +73,18 @@
 
     @property
     def is_empty(self) -> bool:
-        """Tell whether there is nothing to store."""
+        """Return whether there is nothing to store."""
         return not (self.records or self.deletes or self.planned or self.ends)
 
     def parts(self, extra: Iterable[Put]) -> Iterator[CycleTransaction]:
-        """Yield transactions; `extra` goes into the first.
+        """Yield the transactions; the writes in `extra` go into the first.
 
-        Ends become confirmable with the last one: which job an end belongs to does not matter
-        then, and all of them are stored.
+        Ends may be confirmed after the last transaction: by then the records of all jobs are
+        stored, so the job that an end belongs to does not matter.
         """
         parts = [self._records_part(chunk) for chunk in self._record_chunks()]
         parts.extend(
-            CycleTransaction(deletes=chunk) for chunk in _chunks(self.deletes, ENTRIES_AT_ONCE)
+            CycleTransaction(deletes=chunk) for chunk in _chunks(self.deletes, MAX_BATCH_ENTRIES)
         )
         if not parts:
             parts.append(CycleTransaction())
@@ -92,12 +93,12 @@
         yield from parts
 
     def _record_chunks(self) -> Iterator[list[str]]:
-        """Yield job ids, as many at once as one transaction holds with what goes with them."""
+        """Yield groups of job ids whose records and inbox deletions fit into one transaction."""
         chunk: list[str] = []
         size = 0
         for job_id in self.records:
             entries = 1 + len(self.taken.get(job_id, ()))
-            if size + entries > ENTRIES_AT_ONCE:
+            if size + entries > MAX_BATCH_ENTRIES:
                 yield chunk
                 chunk, size = [], 0
             chunk.append(job_id)
--- a/vanillawell/coordination/cycle_log.py
+++ b/vanillawell/coordination/cycle_log.py
@@ -1,7 +1,8 @@
-"""Log what one turn of a shard's owner started and what it took in as done.
+"""Log the tasks that one scheduling cycle started and those it recorded as done.
 
-Peaks start and end hundreds of tasks a second. With a line for each, the bound on lines of a kind
-would leave out just those that explain a late job; so a line holds many tasks, each whole.
+At peak load hundreds of tasks start and end per second. With one line per task, the limit on lines
+of a kind would drop exactly the lines that explain a late job. Each line therefore holds several
+tasks, each with all its fields.
 """
 
 from __future__ import annotations
@@ -17,20 +18,23 @@
 
 log = logging.getLogger(__name__)
 
-ROWS_IN_A_LINE = 32
-"""Tasks told in one line, some two kilobytes."""
+TASKS_PER_LINE = 32
+"""Tasks per log line; a line of 32 tasks takes about two kilobytes."""
 
 
 def log_started_tasks(runs: Sequence[Run], token: int) -> None:
-    """Tell which tasks start where; rows hold the task's id, its run and the executor."""
-    _tell("tasks started", [[*run.task.task_id, run.number, run.executor] for run in runs], token)
+    """Log which tasks start where; each row holds the task's id, its run and the executor."""
+    _log_rows(
+        "tasks started", [[*run.task.task_id, run.number, run.executor] for run in runs], token
+    )
 
 
 def log_done_tasks(tasks: Sequence[DoneTask], token: int) -> None:
-    """Tell which tasks are done; rows hold the id, run, executor and seconds from its start."""
-    _tell("tasks done", [[*item.task_id, *item[1:]] for item in tasks], token)
+    """Log which tasks are done; each row holds the task's id, its run, the executor and the seconds
+    since its start."""
+    _log_rows("tasks done", [[*item.task_id, *item[1:]] for item in tasks], token)
 
 
-def _tell(message: str, rows: list[list[object]], token: int) -> None:
-    for first in range(0, len(rows), ROWS_IN_A_LINE):
-        log.info(message, extra={"runs": rows[first : first + ROWS_IN_A_LINE], "token": token})
+def _log_rows(message: str, rows: list[list[object]], token: int) -> None:
+    for first in range(0, len(rows), TASKS_PER_LINE):
+        log.info(message, extra={"runs": rows[first : first + TASKS_PER_LINE], "token": token})
--- a/vanillawell/coordination/drain_runner.py
+++ b/vanillawell/coordination/drain_runner.py
@@ -1,4 +1,4 @@
-"""Move lasting tasks off executors that said that they leave."""
+"""Move long-running tasks off executors that have announced their departure."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 
 log = logging.getLogger(__name__)
 
-PAUSE = 0.1
-"""Seconds between two looks."""
+POLL_INTERVAL = 0.1
+"""Seconds between two checks."""
 
 
 class DrainRunner:
-    """Empty the executors that leave during one term.
+    """Drain the departing executors during one term.
 
-    Nothing is remembered from one look to the next but what was logged: a new owner goes on from
-    what the registry and the executors tell it.
+    Only the logged outcomes are kept between two checks: a new owner continues from what the
+    registry and the executors report.
     """
 
     def __init__(
@@ -38,32 +38,33 @@
         self._term = term
         self._kill_grace = kill_grace
         self._wake = wake
-        self._told: dict[str, str] = {}
-        """What was last logged of each executor that leaves."""
+        self._logged_outcomes: dict[str, str] = {}
+        """The outcome that was last logged for each departing executor."""
 
     async def run(self) -> None:
-        """Look again and again until cancelled."""
+        """Check repeatedly until cancelled."""
         while True:
-            self.look(clock.read())
-            await anyio.sleep(PAUSE)
+            self.check(clock.read())
+            await anyio.sleep(POLL_INTERVAL)
 
-    def look(self, now: float) -> None:
-        """Move what can and must be moved now."""
+    def check(self, now: float) -> None:
+        """Stop the runs that can or must leave their executors now."""
         found = leaving(self._shard.ledger.executors.values())
         for executor in found:
-            self._empty(executor, now)
-        for name in self._told.keys() - {item.name for item in found}:
-            self._conclude(name, now)
+            self._drain(executor, now)
+        for name in self._logged_outcomes.keys() - {item.name for item in found}:
+            self._log_departure(name, now)
 
-    def _empty(self, executor: Executor, now: float) -> None:
-        """Stop tasks of one executor, unless nothing could start elsewhere without the store."""
+    def _drain(self, executor: Executor, now: float) -> None:
+        """Stop runs on one executor; stop none while the store is unavailable, since they could not
+        start elsewhere."""
         if not self._term.is_held(now):
-            self._tell(executor, "waits for the store", now)
+            self._log_outcome(executor, "waits for the store", now)
             return
         runs = to_move(executor, lambda run: self._shard.has_place(run, now), self._kill_grace, now)
         for run in runs:
-            self._stop(executor, run, now)
-        self._tell(executor, self._outcome(executor, now), now)
+            self._stop_run(executor, run, now)
+        self._log_outcome(executor, self._outcome(executor, now), now)
         if runs:
             self._wake()
 
@@ -75,7 +76,7 @@
             return "all stopped"
         return "moving" if any(run.stop_wanted for run in left) else "held"
 
-    def _stop(self, executor: Executor, run: Run, now: float) -> None:
+    def _stop_run(self, executor: Executor, run: Run, now: float) -> None:
         soon = leaves_soon(executor, self._kill_grace, now)
         task_id = run.task.task_id
         fields = {"job": task_id.job_id, "task": task_id[1:], "run": run.number}
@@ -83,16 +84,16 @@
         log.info("task moved", extra={**fields, **self._describe(executor, now), "why": why})
         self._shard.want_stop(run)
 
-    def _tell(self, executor: Executor, outcome: str, now: float) -> None:
-        """Log how far an executor is emptied, once for each change."""
-        if self._told.get(executor.name) == outcome:
+    def _log_outcome(self, executor: Executor, outcome: str, now: float) -> None:
+        """Log how far an executor is drained, once per change."""
+        if self._logged_outcomes.get(executor.name) == outcome:
             return
-        self._told[executor.name] = outcome
+        self._logged_outcomes[executor.name] = outcome
         log.info("executor emptied", extra={**self._describe(executor, now), "outcome": outcome})
 
-    def _conclude(self, name: str, now: float) -> None:
-        """Log what became of an executor that is no longer leaving."""
-        del self._told[name]
+    def _log_departure(self, name: str, now: float) -> None:
+        """Log the outcome for an executor that is no longer departing."""
+        del self._logged_outcomes[name]
         executor = self._shard.ledger.executors.get(name)
         if executor is None:
             log.info("executor emptied", extra={"executor": name, "outcome": "left"})
--- a/vanillawell/coordination/driver_clocks.py
+++ b/vanillawell/coordination/driver_clocks.py
@@ -1,4 +1,4 @@
-"""Read the steady clocks of all executors that an owner is in touch with."""
+"""Read the steady clocks of all executors that an owner has contact with."""
 
 from __future__ import annotations
 
@@ -14,23 +14,26 @@
 
 
 class DriverClocks:
-    """The clocks that the drivers of a term have read."""
+    """Provide the executor clocks that the drivers of a term have read."""
 
     def __init__(self, drivers: Mapping[str, ExecutorDriver]) -> None:
         self._drivers = drivers
 
     def at_least(self, now: float) -> dict[str, float]:
-        """Return what the clocks surely show now, by executors' lives."""
-        return {life_of(item.executor): item.clock.at_least(now) for item in self._read()}
+        """Return lower bounds of what the clocks show now, by executor incarnation."""
+        return {
+            life_of(item.executor): item.clock.at_least(now) for item in self._readable_drivers()
+        }
 
     def at_most(self, now: float) -> dict[str, float]:
-        """Return what the clocks show now at most, by executors' lives.
+        """Return upper bounds of what the clocks show now, by executor incarnation.
 
-        Those come first that a successor can probably read: of executors in touch, those with
-        lasting tasks, since their machines are not moved, and then those that were heard of last.
+        Clocks that a successor can probably read come first: those of reachable executors, then
+        those of executors with long-running tasks, whose machines are not moved, then the most
+        recently read ones.
         """
         read = sorted(
-            self._read(),
+            self._readable_drivers(),
             key=lambda item: (
                 item.executor.is_out_of_touch,
                 not has_lasting(item.executor),
@@ -39,5 +42,5 @@
         )
         return {life_of(item.executor): item.clock.at_most(now) for item in read}
 
-    def _read(self) -> list[ExecutorDriver]:
-        return [item for item in self._drivers.values() if item.knows_clock]
+    def _readable_drivers(self) -> list[ExecutorDriver]:
+        return [item for item in self._drivers.values() if item.has_clock_reading]
--- a/vanillawell/coordination/executor_driver.py
+++ b/vanillawell/coordination/executor_driver.py
@@ -1,4 +1,4 @@
-"""Keep what runs on one executor alive, and take in what it reports."""
+"""Drive the calls to one executor: renew its leases and process its reports."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import anyio
 
 from vanillawell import clock
-from vanillawell.coordination.executor_link import RETRY_PAUSE
+from vanillawell.coordination.executor_link import RETRY_DELAY
 from vanillawell.coordination.leases import HOLDING_AFTER_LAPSE
 from vanillawell.coordination.run_orders import RunOrders
 from vanillawell.protocol.calls import NoAnswerError, NotSentError
@@ -25,27 +25,31 @@
 
 log = logging.getLogger(__name__)
 
-LONG_HOLD = 2.0
-"""Seconds a hold waits for an end; the longest that executors allow. Each hold has a price."""
+LONG_HOLD_WAIT = 2.0
+"""Seconds a hold call waits for a run to end; the maximum that executors allow. Calls are priced,
+so long waits are cheaper."""
 
-SHORT_HOLD = 0.5
-"""Seconds a hold waits where short tasks may end, or start-ups and tails have to be watched.
+SHORT_HOLD_WAIT = 0.5
+"""Seconds a hold call waits while short tasks may end, or while start-ups or response-time tails
+have to be monitored.
 
-Where tasks end, holds are answered sooner anyway; but a lost answer is noticed only after the
-wait, and until then ends of tasks go unnoticed and their room unused.
+The executor answers as soon as a task ends, so a longer wait would not save many calls. But a lost
+answer is noticed only after the wait; until then, ended tasks go unnoticed and their capacity
+unused.
 """
 
 
 class ExecutorDriver:
-    """Own the traffic to one life of one executor."""
+    """Send all calls to one incarnation of one executor."""
 
     def __init__(self, link: ExecutorLink, tasks: TaskGroup) -> None:
         self._link = link
         self._executor = link.executor
         self._orders = RunOrders(link, tasks, self.notify, lambda: self.hold(0.0))
-        self._news = anyio.Event()
+        self._wake_event = anyio.Event()
         self._idle = False
-        """Whether it waits for something to do, and not for a turn to be stored."""
+        """Whether the driver is waiting for work, rather than for a scheduling cycle to be
+        stored."""
 
         self._confirmed_end = 0
         self.finished = False
@@ -61,33 +65,35 @@
         return self._link.clock
 
     @property
-    def knows_clock(self) -> bool:
-        """Tell whether the clock of the executor's present life has been read."""
-        return self._link.knows_clock
+    def has_clock_reading(self) -> bool:
+        """Return whether the clock of the executor's current incarnation has been read."""
+        return self._link.has_clock_reading
 
     @property
     def orders(self) -> RunOrders:
-        """Return what sends orders to the executor."""
+        """Return the sender of orders to the executor."""
         return self._orders
 
     def notify(self) -> None:
-        """Look again at whether there is something to do."""
-        self._news.set()
+        """Wake the driver so that it checks again whether a call is due."""
+        self._wake_event.set()
 
     def wake_if_needed(self) -> None:
-        """Go on if there is something to do by now; cheap enough for each turn."""
+        """Wake the driver if it is idle and a call is due; cheap enough to run in every scheduling
+        cycle."""
         if self._idle and self._wants_hold():
-            self._news.set()
+            self._wake_event.set()
 
     async def run(self) -> None:
-        """Hold the executor while anything is charged to it or has to be confirmed."""
+        """Send hold calls while any run is charged to the executor or any end awaits
+        confirmation."""
         try:
             while self._is_needed():
                 if self._wants_hold():
                     await self._hold_once()
                 else:
                     self._idle = True
-                    await self._wait_for_news()
+                    await self._wait_for_wake()
                     self._idle = False
         finally:
             self.finished = True
@@ -95,9 +101,9 @@
     def _is_needed(self) -> bool:
         return self._link.shard.ledger.executors.get(self._executor.name) is self._executor
 
-    async def _wait_for_news(self) -> None:
-        await self._news.wait()
-        self._news = anyio.Event()
+    async def _wait_for_wake(self) -> None:
+        await self._wake_event.wait()
+        self._wake_event = anyio.Event()
 
     def _wants_hold(self) -> bool:
         executor = self._executor
@@ -107,85 +113,86 @@
             executor.is_out_of_touch
             or executor.asked_from is not None
             or any(run.phase is not RunPhase.PLANNED for run in executor.runs.values())
-            or self._ends_to_confirm() > self._confirmed_end
+            or self._confirmable_end() > self._confirmed_end
             or bool(executor.unsaved_ends)
         )
 
-    def _ends_to_confirm(self) -> int:
+    def _confirmable_end(self) -> int:
         return self._executor.saved_end if self._executor.contacted else 0
 
     async def _hold_once(self) -> None:
-        """Make one call and take in what it reports."""
+        """Send one hold call and process its report."""
         if self._executor.unsaved_ends:
-            with anyio.move_on_after(self._save_patience()):
+            with anyio.move_on_after(self._storage_timeout()):
                 while self._executor.unsaved_ends and self._is_needed():
-                    await self._wait_for_news()
+                    await self._wait_for_wake()
         if not self._executor.is_out_of_touch:
-            await self._await_permission()
+            await self._await_lease_extension()
         sent, target = clock.read(), self._link.target()
         try:
-            await self.hold(self._wait())
+            await self.hold(self._hold_wait())
         except (NotSentError, NoAnswerError) as error:
             if self._link.answered_at >= sent:
                 log.warning("report unanswered", extra={"executor": self._executor.name})
                 return
-            self._note_failure(error)
-            await anyio.sleep(RETRY_PAUSE)
+            self._record_failure(error)
+            await anyio.sleep(RETRY_DELAY)
         except OrderRefusedError as error:
-            self._link.refused(error)
-            await anyio.sleep(RETRY_PAUSE)
+            self._link.handle_refusal(error)
+            await anyio.sleep(RETRY_DELAY)
         except WrongIncarnationError:
-            self._link.note_dead(target, "another executor lives at the address")
+            self._link.record_termination(target, "another executor answers at the address")
 
-    async def _await_permission(self) -> None:
-        """Wait a moment until leases may be extended again.
+    async def _await_lease_extension(self) -> None:
+        """Wait briefly until leases may be extended again.
 
-        A report that is asked for before would wait for an end without renewing anything, and
-        owners that are replaced in series would let the leases of sound work expire.
+        A call sent before that would wait for a run to end without renewing any lease. If owners
+        were replaced several times in a row, the leases of healthy runs would expire.
         """
-        with anyio.move_on_after(self._save_patience()):
+        with anyio.move_on_after(self._storage_timeout()):
             while not self._link.may_extend_lease():
-                await self._wait_for_news()
+                await self._wait_for_wake()
 
-    def _save_patience(self) -> float:
-        """Return how long to wait for a turn to be stored before the next hold.
+    def _storage_timeout(self) -> float:
+        """Return the maximum seconds to wait for a scheduling cycle to be stored before the next
+        hold call.
 
-        Executors list ends again and again until they are confirmed, so a hold would not wait.
-        While the store is away only the lease has to be renewed.
+        Executors answer at once while any reported end is unconfirmed, so a hold call would not
+        wait. While the store is unavailable, only the lease has to be renewed.
         """
         return 0.3 if self._link.term.is_held(clock.read()) else 1.0
 
-    def _wait(self) -> float:
-        """Return the seconds that the next hold may wait for an end."""
+    def _hold_wait(self) -> float:
+        """Return the seconds that the next hold call may wait for a run to end."""
         if not self._executor.contacted or self._executor.silent_since is not None:
             return 0.0
         if self._executor.asked_from is not None:
             return 0.0
         if not self._link.may_extend_lease():
-            return SHORT_HOLD
+            return SHORT_HOLD_WAIT
         runs = self._executor.runs.values()
-        if any(self._is_watched(run) for run in runs):
-            return SHORT_HOLD
-        return LONG_HOLD
+        if any(self._needs_short_hold(run) for run in runs):
+            return SHORT_HOLD_WAIT
+        return LONG_HOLD_WAIT
 
     @staticmethod
-    def _is_watched(run: Run) -> bool:
+    def _needs_short_hold(run: Run) -> bool:
         spec = run.task.step.spec
         return not spec.long_running or not run.at_work or bool(spec.tail_target)
 
     async def hold(self, wait: float) -> None:
-        """Renew the lease, confirm what is stored and take in the report."""
-        self._enter_life(self._executor.facts.incarnation)
+        """Renew the lease, confirm the stored ends and process the report."""
+        self._begin_incarnation(self._executor.facts.incarnation)
         sent = clock.read()
-        saved = self._ends_to_confirm()
-        extension = self._renew(sent)
+        saved = self._confirmable_end()
+        extension = self._new_lease(sent)
         lease_end = None if extension is None else extension.end
         try:
             report = await self._link.calls.hold(
                 self._link.target(), self._link.term.token, saved, lease_end, wait
             )
         except (NotSentError, OrderRefusedError):
-            self._link.take_back(extension)
+            self._link.revert_extension(extension)
             raise
         if not self._is_needed():
             return
@@ -194,13 +201,13 @@
             log.info("report of a former life", extra=fields)
             return
         now = clock.read()
-        if not self._enter_life(report.incarnation):
+        if not self._begin_incarnation(report.incarnation):
             self._confirmed_end = max(self._confirmed_end, saved)
-        self._link.answered(report.incarnation, report.clock, sent, now)
-        self._note_contact()
+        self._link.record_answer(report.incarnation, report.clock, sent, now)
+        self._record_contact()
         self._link.shard.take_report(self._executor, report, sent, now, self._link.wall())
-        if not self._link.contact.is_set():
-            self._link.contact.set()
+        if not self._link.first_report.is_set():
+            self._link.first_report.set()
             log.info(
                 "executor contacted",
                 extra={
@@ -213,32 +220,34 @@
         self._orders.pace(now)
         self._link.wake_owner()
 
-    def _enter_life(self, incarnation: int) -> bool:
-        """Begin anew with a new life of the executor; tells whether it is one."""
-        if not self._link.enter_life(incarnation):
+    def _begin_incarnation(self, incarnation: int) -> bool:
+        """Reset the state kept for an incarnation if the executor has a new one; return whether it
+        has."""
+        if not self._link.begin_incarnation(incarnation):
             return False
         self._confirmed_end = 0
         log.info("executor restarted", extra={"executor": self._executor.name})
         return True
 
     async def renew(self) -> bool:
-        """Renew the leases at once, beside the call that waits for an end; tells whether the
-        executor has answered."""
+        """Renew the leases at once, in parallel with the waiting hold call; return whether the
+        executor answered."""
         try:
             await self.hold(0.0)
         except (NotSentError, NoAnswerError, OrderRefusedError, WrongIncarnationError) as error:
             fields = {"executor": self._executor.name, "why": str(error)}
-            log.info("executor not renewed", extra=fields)
+            log.info("executor leases not renewed", extra=fields)
             return False
         return True
 
-    def _renew(self, now: float) -> LeaseExtension | None:
-        """Return a new lease; None to leave the leases as they are.
+    def _new_lease(self, now: float) -> LeaseExtension | None:
+        """Return a new lease, or None to leave the leases as they are.
 
-        An executor that does not answer gets no renewal: each call might still reach it, and its
-        runs could never be given up. Nor does an owner renew long after it lost its own lease.
+        An unresponsive executor gets no renewal: any such call might still reach it, and its runs
+        could never be started elsewhere. An owner also stops renewing once its own lease has been
+        expired for too long.
         """
-        if not self._link.knows_clock or self._executor.silent_since is not None:
+        if not self._link.has_clock_reading or self._executor.silent_since is not None:
             return None
         if not self._link.may_extend_lease():
             return None
@@ -246,18 +255,18 @@
             return None
         return self._link.extend_lease(now)
 
-    def _note_contact(self) -> None:
+    def _record_contact(self) -> None:
         if self._executor.silent_since is not None:
-            silent = round(clock.read() - self._executor.silent_since, 3)
-            fields = {"dependency": self._executor.name, "silent": silent}
+            unresponsive_for = round(clock.read() - self._executor.silent_since, 3)
+            fields = {"dependency": self._executor.name, "silent": unresponsive_for}
             log.warning("dependency regained", extra=fields)
         self._executor.silent_since = None
 
-    def _note_failure(self, error: Exception) -> None:
-        """Give the executor no new work for a while, and rely on nothing that it runs.
+    def _record_failure(self, error: Exception) -> None:
+        """Stop placing tasks on the executor for a while, and count none of its runs as available.
 
-        Not even a refused connection proves that it has ended: a path that is cut may answer
-        for it, while it runs on.
+        Even a refused connection does not prove that the executor has terminated: on a broken
+        network path, another host may refuse it while the executor keeps running.
         """
         self._link.suspect()
         self._executor.fall_silent()
--- a/vanillawell/coordination/executor_link.py
+++ b/vanillawell/coordination/executor_link.py
@@ -1,4 +1,4 @@
-"""Know one life of one executor: how to address it, how its clock runs, whether it answers."""
+"""Track one incarnation of one executor: its address, its clock and whether it answers."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 
 log = logging.getLogger(__name__)
 
-RETRY_PAUSE = 0.2
-"""Seconds between two tries to reach an executor."""
+RETRY_DELAY = 0.2
+"""Seconds between two attempts to reach an executor."""
 
 
 class DeposedError(Exception):
@@ -35,21 +35,22 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseExtension:
-    """A lease that one call carries."""
+    """A lease that is sent with one call."""
 
     end: float
     """Seconds on the executor's clock."""
 
     number: int
-    """Counts the leases that calls to the executor have carried."""
+    """Sequence number among the leases sent to the executor."""
 
-    over_before: float
-    """When all leases there are surely over if the call does nothing, on the clock of decisions."""
+    previous_expiry: float
+    """Clock of decisions at which all earlier leases have certainly expired, which holds if this
+    call has no effect."""
 
 
 @dataclass(slots=True)
 class ExecutorLink:
-    """What all traffic to one life of one executor shares."""
+    """State shared by all calls to one incarnation of one executor."""
 
     executor: Executor
     calls: ExecutorCalls
@@ -58,107 +59,106 @@
     leases: LeaseKeeper
     wake_owner: Callable[[], None]
     wall: Callable[[], float]
-    longest_lease: float
+    max_lease: float
     """Seconds."""
 
     kill_grace: float
-    """Seconds that the executor takes at most to end what has no lease any more."""
+    """Maximum seconds that the executor takes to kill runs whose lease has expired."""
 
     clock: ExecutorClock = field(default_factory=ExecutorClock)
-    _clock_life: int | None = None
-    """Start of the life whose clock was read, in milliseconds since the epoch."""
+    _clock_incarnation: int | None = None
+    """Start time of the incarnation whose clock was read, in milliseconds since the epoch."""
 
     _extensions: int = 0
-    """Number of the latest lease that a call carried."""
+    """Sequence number of the latest lease that was sent."""
 
-    contact: anyio.Event = field(default_factory=anyio.Event)
+    first_report: anyio.Event = field(default_factory=anyio.Event)
     """Set once the executor has reported."""
 
     answered_at: float = float("-inf")
 
     def target(self) -> Target:
-        """Return whom orders are meant for."""
+        """Return the incarnation that orders are addressed to."""
         facts = self.executor.facts
         return Target(facts.executor, facts.address, facts.incarnation)
 
     @property
-    def knows_clock(self) -> bool:
-        """Tell whether the clock of the executor's present life has been read."""
-        is_present = self._clock_life == self.executor.facts.incarnation
+    def has_clock_reading(self) -> bool:
+        """Return whether the clock of the executor's current incarnation has been read."""
+        is_present = self._clock_incarnation == self.executor.facts.incarnation
         return is_present and self.clock.value is not None
 
-    def enter_life(self, incarnation: int) -> bool:
-        """Drop what the clock showed in a former life; tells whether there was one.
+    def begin_incarnation(self, incarnation: int) -> bool:
+        """Drop the clock readings of a previous incarnation; return whether there was one.
 
-        An executor that runs nothing is asked nothing, so its owner may hear of its new life from
-        the registry. A lease that ended by the former life's clock would outlive what the owner
-        reckons with.
+        An executor without runs is not called, so its owner may learn of the new incarnation from
+        the registry first. A lease end computed from the previous incarnation's clock would lie
+        beyond the expiry that the owner assumes.
         """
-        former, self._clock_life = self._clock_life, incarnation
-        if former in (None, incarnation):
+        previous, self._clock_incarnation = self._clock_incarnation, incarnation
+        if previous in (None, incarnation):
             return False
         self.clock.forget()
         return True
 
     def may_extend_lease(self) -> bool:
-        """Tell whether a call may extend the executor's leases now."""
+        """Return whether a call may extend the executor's leases now."""
         return self.leases.may_extend(self.executor.name)
 
     def extend_lease(self, now: float) -> LeaseExtension:
-        """Return a lease that begins now, for one call to carry.
+        """Return a lease that begins now, to be sent with one call.
 
-        From here on the lease is reckoned with, since the call may arrive.
+        From here on the owner assumes that the lease is in force, since the call may arrive.
         """
-        lease = min(LEASE, self.longest_lease)
+        lease = min(LEASE, self.max_lease)
         before = self.executor.lease_over
-        over = self.clock.surely_over(now, lease) + self.kill_grace + LEASE_MARGIN
-        self.executor.lease_over = max(before, over)
+        expiry = self.clock.surely_over(now, lease) + self.kill_grace + LEASE_MARGIN
+        self.executor.lease_over = max(before, expiry)
         self._extensions += 1
         return LeaseExtension(self.clock.lease_end(now, lease), self._extensions, before)
 
-    def take_back(self, extension: LeaseExtension | None) -> None:
-        """Take in that the call with a lease has done nothing, unless another went out since.
+    def revert_extension(self, extension: LeaseExtension | None) -> None:
+        """Revert a lease whose call had no effect, unless a later lease has been sent since.
 
-        Reckoned with all the same, it would keep tasks charged to an executor that refuses all
-        calls for as long as it refuses, though their leases have expired.
+        Otherwise an executor that refuses all calls would keep its tasks charged for as long as it
+        refuses, even after their leases have expired.
         """
         if extension is not None and extension.number == self._extensions:
-            self.executor.lease_over = extension.over_before
+            self.executor.lease_over = extension.previous_expiry
 
-    def answered(self, incarnation: int, reading: float, sent: float, now: float) -> None:
-        """Take in the answer to a call to one life that was sent at `sent`, with a reading of its
-        clock."""
-        if incarnation == self._clock_life:
+    def record_answer(self, incarnation: int, reading: float, sent: float, now: float) -> None:
+        """Record the answer to a call sent to one incarnation at `sent`, and its clock reading."""
+        if incarnation == self._clock_incarnation:
             self.clock.note(reading, sent, now)
         self.answered_at = now
 
     def suspect(self) -> None:
-        """Give the executor no new work for a while."""
+        """Place no new tasks on the executor for a while."""
         self.executor.suspect(clock.read() + SUSPICION)
 
-    def suspect_if_silent(self, sent: float) -> None:
-        """Give the executor no new work for a while if it has answered nothing since `sent`.
+    def block_if_unresponsive(self, sent: float) -> None:
+        """Place no new tasks on the executor for a while if it has answered no call since `sent`.
 
-        Single answers get lost, too, or come seconds late, while others arrive. An executor shut
-        out for each of them left a pool at half its room in the worst seconds of its peak: with one
-        order in fifteen unanswered, nine of 21 executors got no work at any time.
+        Single answers get lost or arrive seconds late while others arrive in time. Blocking an
+        executor for each of them left a pool at half its capacity at the height of its peak: with
+        one in fifteen orders unanswered, nine of 21 executors got no tasks at any time.
         """
         if self.answered_at < sent:
             self.suspect()
 
-    def refused(self, error: OrderRefusedError) -> None:
-        """Take in the refusal of a report; raises DeposedError if another entry owns the shard."""
+    def handle_refusal(self, error: OrderRefusedError) -> None:
+        """Handle a refused hold call; raise DeposedError if another entry owns the shard."""
         if error.reason is Refused.FENCE:
             raise DeposedError(self.executor.name) from error
         self.suspect()
         fields = {"executor": self.executor.name, "reason": error.reason.value}
-        log.warning("hold refused", extra=fields)
+        log.warning("hold call refused", extra=fields)
 
-    def note_dead(self, target: Target, reason: str) -> None:
-        """Take in the proof that the life that a call was meant for is over.
+    def record_termination(self, target: Target, reason: str) -> None:
+        """Record the proof that the incarnation a call was addressed to has terminated.
 
-        By the time of the answer the executor may have begun another one elsewhere, of which the
-        answer says nothing.
+        By the time of the answer the executor may have a new incarnation at another address, of
+        which the answer says nothing.
         """
         is_present = target.incarnation == self.executor.facts.incarnation
         fields = {"executor": target.executor, "reason": reason, "is_present": is_present}
@@ -167,7 +167,7 @@
         self.wake_owner()
 
     def describe(self, run: Run) -> dict[str, object]:
-        """Return the fields of log lines on a run."""
+        """Return the log fields that identify a run."""
         task_id = run.task.task_id
         return {
             "job": task_id.job_id,
--- a/vanillawell/coordination/loss_detector.py
+++ b/vanillawell/coordination/loss_detector.py
@@ -1,4 +1,4 @@
-"""Find out what became of executors that answer nothing, and tell what is waited for."""
+"""Detect terminated executors among the unresponsive ones, and log unreached executors."""
 
 from __future__ import annotations
 
@@ -23,60 +23,64 @@
 
 log = logging.getLogger(__name__)
 
-UNREACHED_AFTER = 1.0
+FIRST_REPORT_TIMEOUT = 1.0
 """Seconds after loading a shard at which executors that have not reported are logged."""
 
-PAUSE = 0.1
-"""Seconds between two looks for executors in doubt."""
+POLL_INTERVAL = 0.1
+"""Seconds between two checks for unresponsive executors."""
 
-SECOND_LOOK = 0.3
-"""Seconds after which the list is read again for executors that it does not name."""
+RECHECK_DELAY = 0.3
+"""Seconds after which the machine list is read again to confirm that it does not name an
+executor."""
 
-LIST_PAUSE = 0.7
-"""Seconds between other readings of the list while there is doubt; readings are priced."""
+LIST_INTERVAL = 0.7
+"""Seconds between other reads of the machine list while executors are unresponsive; reads are
+priced."""
 
 
 class LossDetector:
-    """End the lives of executors that run nothing any more, for one term."""
+    """Record executors as terminated that can no longer run anything, for one term."""
 
     def __init__(self, shard: Shard, machines: MachineCalls, wake: Callable[[], None]) -> None:
         self._shard = shard
         self._machines = machines
         self._wake = wake
         self._missing: set[str] = set()
-        """Lives that the latest reading did not name."""
+        """Incarnations that the latest list did not name."""
 
     async def run(self) -> None:
-        """Watch until cancelled."""
+        """Check until cancelled."""
         while True:
             if in_doubt(self._shard.ledger.executors.values(), clock.read()):
-                await self._look()
-                await anyio.sleep(SECOND_LOOK if self._missing else LIST_PAUSE)
+                await self._check()
+                await anyio.sleep(RECHECK_DELAY if self._missing else LIST_INTERVAL)
             else:
                 self._missing.clear()
-                await anyio.sleep(PAUSE)
+                await anyio.sleep(POLL_INTERVAL)
 
-    async def _look(self) -> None:
+    async def _check(self) -> None:
         asked = clock.read()
         try:
             machines = await self._machines.list_machines()
         except (NotSentError, NoAnswerError) as error:
-            log.warning("executors in doubt not looked up", extra={"why": str(error)})
+            log.warning(
+                "machine list not read for unresponsive executors", extra={"why": str(error)}
+            )
             self._missing.clear()
             return
-        carried = {
+        listed_executors = {
             item.name: (item.executor or "") if item.state is MachineState.UP else ""
             for item in machines
         }
-        found = losses(list(self._shard.ledger.executors.values()), carried, asked)
-        again = [item for item in found.missing if life_of(item) in self._missing]
-        self._missing = {life_of(item) for item in found.missing if item not in again}
+        found = losses(list(self._shard.ledger.executors.values()), listed_executors, asked)
+        missing_twice = [item for item in found.missing if life_of(item) in self._missing]
+        self._missing = {life_of(item) for item in found.missing if item not in missing_twice}
         for executor in found.ended:
-            self._end(executor, "another state of its machine", asked)
-        for executor in again:
-            self._end(executor, "on no machine, twice", asked)
+            self._record_termination(executor, "another state of its machine", asked)
+        for executor in missing_twice:
+            self._record_termination(executor, "on no machine, twice", asked)
 
-    def _end(self, executor: Executor, reason: str, asked: float) -> None:
+    def _record_termination(self, executor: Executor, reason: str, asked: float) -> None:
         now = clock.read()
         fields = {"executor": executor.name, "machine": executor.facts.machine, "reason": reason}
         figures = {"runs": len(executor.runs), "age": round(now - asked, 3)}
@@ -86,11 +90,13 @@
 
 
 async def log_unreached_executors(shard: Shard, token: int) -> None:
-    """Log which executors with work of former terms have not reported, and what is waited for.
+    """Log which executors with runs from previous terms have not reported, and how long their
+    leases last.
 
-    Their tasks start elsewhere only after that time, and nothing else would tell why.
+    Their tasks start elsewhere only when the leases have expired, and no other log line explains
+    the delay.
     """
-    await anyio.sleep(UNREACHED_AFTER)
+    await anyio.sleep(FIRST_REPORT_TIMEOUT)
     now = clock.read()
     for executor in shard.ledger.executors.values():
         if executor.contacted or not executor.runs:
--- a/vanillawell/coordination/machine_orders.py
+++ b/vanillawell/coordination/machine_orders.py
@@ -1,13 +1,14 @@
-"""Give orders for machines in the name of a term, without crossing those of a former owner.
+"""Give machine orders in the name of a term, without conflicting with those of a previous owner.
 
-A former owner may have given an order for a machine just before it was replaced, and the service
-behind it must not see two holders take turns within a bound. So the machines of the latest orders
-are stored before the orders go out, and a new owner leaves just those alone for that long. Waiting
-with all machines would leave a pool without help in the seconds after each change of owner.
+A previous owner may have given an order for a machine just before it was replaced, and the machine
+service must not see orders of two holders for the same machine within a minimum interval. Therefore
+the machines of the latest orders are stored before the orders are sent, and a new owner excludes
+only those machines for that interval. Excluding all machines would leave a pool without new
+machines for seconds after each change of owner.
 
-How long ago the orders were given is told by the steady clocks of executors, whose readings are
-stored with them: wall clocks of two entries may differ by seconds, and counting from the change of
-owner, the seconds in which nobody owned the shard would be waited for once more.
+The age of the orders is measured by the steady clocks of executors, whose readings are stored with
+them. Wall clocks of two entries may differ by seconds, and counting from the change of owner would
+prolong the exclusion by the seconds in which nobody owned the shard.
 """
 
 from __future__ import annotations
@@ -36,27 +37,28 @@
 log = logging.getLogger(__name__)
 
 ORDER_FRESHNESS = 0.5
-"""Seconds after its announcement within which an order has to be sent, while the store is quick."""
+"""Seconds after its announcement within which an order has to be sent, while the store is fast."""
 
 MAX_ORDER_FRESHNESS = 3.0
-"""Seconds to which that bound grows while the store is slow."""
+"""Maximum seconds to which that limit grows while the store is slow."""
 
-ARRIVAL_BOUND = 4.0
-"""Seconds after which a moved machine that has not come is no longer counted on."""
+ARRIVAL_TIMEOUT = 4.0
+"""Seconds after which a moved machine that has not arrived is no longer expected."""
 
-WRITES_ALLOWED = 2
-"""Multiple of the time that an announcement took by which the next one may be slower still."""
+FRESHNESS_FACTOR = 2
+"""Multiple of the time that an announcement took to which the limit is raised, since the next one
+may be slower."""
 
 
-class Purpose(StrEnum):
-    """What a machine is claimed for."""
+class ClaimPurpose(StrEnum):
+    """The purpose that a machine is claimed for."""
 
     MOVE = "move"
     UPKEEP = "upkeep"
 
 
 class MachineOrders:
-    """Own the right to give orders for machines during one term."""
+    """Hold the right to give machine orders during one term."""
 
     def __init__(
         self,
@@ -65,162 +67,180 @@
         keys: WorkKeys,
         shard: str,
         holder: str,
-        pause: float,
+        exclusion_period: float,
         clocks: ExecutorClocks,
     ) -> None:
-        """Take the seconds to leave a machine alone."""
+        """Initialise the orders; `exclusion_period` is the seconds for which a machine of a
+        previous owner's order is excluded."""
         self._term = term
         self._store = ports.store
         self._key = keys.machine_orders(shard)
-        self._pause = pause
-        self._kept = max(pause, ARRIVAL_BOUND)
-        """Seconds for which an order is told to successors."""
+        self._exclusion_period = exclusion_period
+        self._retention = max(exclusion_period, ARRIVAL_TIMEOUT)
+        """Seconds for which an order is stored for successors."""
 
         self._clocks = clocks
-        self._began = clock.read()
-        self._former: dict[str, float] | None = None
-        """Machines of a former owner's latest orders, with the age of each when it was stored."""
+        self._started_at = clock.read()
+        self._inherited: dict[str, float] | None = None
+        """Machines of a previous owner's latest orders, with the age of each order when it was
+        stored."""
 
-        self._former_pools: dict[str, str] = {}
-        """The pools that these go to; other orders have none."""
+        self._inherited_pools: dict[str, str] = {}
+        """The target pools of these machines; orders that do not move a machine have none."""
 
-        self._former_clocks: dict[str, float] = {}
+        self._inherited_clocks: dict[str, float] = {}
         self._freshness = ORDER_FRESHNESS
-        self._former_freshness = ORDER_FRESHNESS
-        self._all_free_at = float("-inf")
+        self._inherited_freshness = ORDER_FRESHNESS
+        self._all_orderable_at = float("-inf")
         self._fresh_until = float("-inf")
-        self._lately: dict[str, float] = {}
+        self._recent_orders: dict[str, float] = {}
         self._pools: dict[str, str] = {}
-        self._claims: dict[str, Purpose] = {}
+        self._claims: dict[str, ClaimPurpose] = {}
         self.duty = MachineDuty(holder, term.token)
 
     async def load(self) -> bool:
-        """Read which machines a former owner gave orders for; False while the store is away."""
-        if self._former is not None:
+        """Read the machines that a previous owner gave orders for; return False if the store is
+        unavailable."""
+        if self._inherited is not None:
             return True
         try:
             found = await self._store.get(self._key)
         except StoreError as error:
-            log.warning("former orders not read", extra={"why": str(error)})
+            log.warning("machine orders of the previous owner not read", extra={"why": str(error)})
             return False
         if found is None:
-            self._former = {}
+            self._inherited = {}
             return True
         try:
-            self._take_former(found.value)
+            self._read_announcement(found.value)
         except (ValueError, TypeError, KeyError, AttributeError) as error:
-            # Damaged, or of an earlier version: any machine may have been ordered just now.
-            log.error("former orders unreadable", extra={"why": repr(error)})
-            self._former_pools = {}
-            self._former, self._all_free_at = {}, self._began + self._pause + MAX_ORDER_FRESHNESS
+            # The document is damaged or of an earlier version: any machine may have a recent order.
+            log.error("machine orders of the previous owner unreadable", extra={"why": repr(error)})
+            self._inherited_pools = {}
+            self._inherited, self._all_orderable_at = (
+                {},
+                self._started_at + self._exclusion_period + MAX_ORDER_FRESHNESS,
+            )
         return True
 
-    def _take_former(self, value: bytes) -> None:
-        """Read a former owner's announcement; raises what its parts being of other types does."""
+    def _read_announcement(self, value: bytes) -> None:
+        """Read a previous owner's announcement; raise an exception if the document has another
+        structure."""
         document = orjson.loads(value)
-        pools = document.get("pools", {}).items()  # former versions did not store them
-        self._former_pools = {str(name): str(pool) for name, pool in pools}
-        self._former = {str(name): float(age) for name, age in document["machines"].items()}
-        self._former_freshness = float(document.get("freshness", MAX_ORDER_FRESHNESS))
+        pools = document.get("pools", {}).items()  # earlier versions do not store them
+        self._inherited_pools = {str(name): str(pool) for name, pool in pools}
+        self._inherited = {str(name): float(age) for name, age in document["machines"].items()}
+        self._inherited_freshness = float(document.get("freshness", MAX_ORDER_FRESHNESS))
         clocks = document["clocks"].items()
-        self._former_clocks = {str(life): float(reading) for life, reading in clocks}
+        self._inherited_clocks = {str(key): float(reading) for key, reading in clocks}
 
     def may_order(self, machine: str, now: float) -> bool:
-        """Tell whether no former owner can have given an order for the machine just now."""
-        if self._former is None or not self._term.is_held(now) or now < self._all_free_at:
+        """Return whether no previous owner can have given a recent order for the machine."""
+        if self._inherited is None or not self._term.is_held(now) or now < self._all_orderable_at:
             return False
         return self.is_over(machine, now)
 
     def is_over(self, machine: str, now: float) -> bool:
-        """Tell whether no order of a former owner for the machine can take effect any more."""
-        age = (self._former or {}).get(machine)
+        """Return whether no order of a previous owner for the machine can take effect any more."""
+        age = (self._inherited or {}).get(machine)
         if age is None:
             return True
-        return age + self._since_former(now) > self._pause + self._former_freshness
+        return (
+            age + self._time_since_inherited(now)
+            > self._exclusion_period + self._inherited_freshness
+        )
 
     def pending_of_previous_owner(self, now: float) -> dict[str, str]:
-        """Return the machines for which orders of a former owner may take effect yet.
+        """Return the machines for which orders of a previous owner may still take effect.
 
-        Each with the pool that it goes to; "" if the order does not change its pool, or an earlier
-        version gave it.
+        Each machine is mapped to its target pool, or to "" if the order does not change the pool or
+        was given by an earlier version.
         """
         return {
-            name: self._former_pools.get(name, "")
-            for name in self._former or {}
+            name: self._inherited_pools.get(name, "")
+            for name in self._inherited or {}
             if not self.is_over(name, now)
         }
 
     def ordered_by_previous_owner(self, now: float) -> set[str]:
-        """Return the machines of a former owner's latest orders that may still be on their way."""
-        passed = self._since_former(now)
-        former = self._former or {}
-        return {name for name, age in former.items() if age + passed <= ARRIVAL_BOUND}
-
-    def claim(self, machine: str, purpose: Purpose) -> bool:
-        """Take the sole right to order a machine; False while it is claimed for something else.
-
-        A wave and a pool may want the same machine. Without a claim one would carry out what it
-        decided before the other's order took effect, and end what has begun there since.
+        """Return the machines of a previous owner's latest orders that may still be moving."""
+        passed = self._time_since_inherited(now)
+        inherited = self._inherited or {}
+        return {name for name, age in inherited.items() if age + passed <= ARRIVAL_TIMEOUT}
+
+    def claim(self, machine: str, purpose: ClaimPurpose) -> bool:
+        """Claim the exclusive right to order a machine; return False if it is claimed for another
+        purpose.
+
+        A wave and a pool may need the same machine. Without a claim, one of them could send an
+        order decided before the other's order took effect, and end runs that have started on the
+        machine since.
         """
         return self._claims.setdefault(machine, purpose) is purpose
 
-    def release(self, machine: str, purpose: Purpose) -> None:
-        """Give a claim back once nothing more is ordered on its ground."""
+    def release(self, machine: str, purpose: ClaimPurpose) -> None:
+        """Release a claim once no further orders depend on it."""
         if self._claims.get(machine) is purpose:
             del self._claims[machine]
 
     def is_claimed(self, machine: str) -> bool:
-        """Tell whether a machine is claimed for anything."""
+        """Return whether a machine is claimed for any purpose."""
         return machine in self._claims
 
-    def _since_former(self, now: float) -> float:
-        """Return the seconds that have surely passed since the former owner's announcement."""
-        passed = surely_passed(self._former_clocks, self._clocks.at_least(now))
-        return max(now - self._began, passed)
+    def _time_since_inherited(self, now: float) -> float:
+        """Return the seconds that have certainly passed since the previous owner's announcement."""
+        passed = surely_passed(self._inherited_clocks, self._clocks.at_least(now))
+        return max(now - self._started_at, passed)
 
     def is_fresh(self, now: float) -> bool:
-        """Tell whether an order that was just announced may still be sent."""
+        """Return whether an order that was just announced may still be sent."""
         return now <= self._fresh_until
 
     async def announce(self, machines: Mapping[str, str]) -> None:
-        """Store that orders for these machines are about to go out; raises TermLostError.
+        """Store that orders for these machines are about to be sent; raise TermLostError if the
+        term is lost.
 
-        They are given with the pool that each goes to; "" for orders that do not change it.
+        Each machine is mapped to its target pool, or to "" if the order does not change the pool.
         """
         now = clock.read()
         recent = {
-            name: moment for name, moment in self._lately.items() if moment > now - self._kept
+            name: moment
+            for name, moment in self._recent_orders.items()
+            if moment > now - self._retention
         }
-        self._lately = {**recent, **dict.fromkeys(machines, now)}
-        ages = {name: now - moment for name, moment in self._lately.items()}
+        self._recent_orders = {**recent, **dict.fromkeys(machines, now)}
+        ages = {name: now - moment for name, moment in self._recent_orders.items()}
         self._pools.update(machines)
-        pools = {**self._former_pools, **self._pools}
+        pools = {**self._inherited_pools, **self._pools}
         clocks = dict(itertools.islice(self._clocks.at_most(now).items(), REFERENCE_CLOCKS))
-        former = self._ages_of_former(now)
+        inherited = self._inherited_ages(now)
         document = {
-            "machines": {**former, **ages},
-            "pools": {name: pools[name] for name in former | ages if pools.get(name)},
+            "machines": {**inherited, **ages},
+            "pools": {name: pools[name] for name in inherited | ages if pools.get(name)},
             "clocks": clocks,
-            "freshness": max(self._freshness, self._former_freshness if former else 0.0),
+            "freshness": max(self._freshness, self._inherited_freshness if inherited else 0.0),
         }
         await self._term.write([Put(self._key, orjson.dumps(document))])
         self._fresh_until = now + self._freshness
-        self._allow_for(clock.read() - now)
+        self._adapt_freshness(clock.read() - now)
 
-    def _allow_for(self, took: float) -> None:
-        """Give later orders more time if an announcement took long.
+    def _adapt_freshness(self, took: float) -> None:
+        """Allow more time for later orders if an announcement took long.
 
-        With half a second in any case, a slow store let no order go out for as long as it was slow,
-        and a peak's pool stayed at half of what it asked for.
+        With a fixed limit of half a second, no order was sent for as long as the store was slow,
+        and a pool stayed at half of its required size during a peak.
         """
-        wanted = min(MAX_ORDER_FRESHNESS, WRITES_ALLOWED * took)
+        wanted = min(MAX_ORDER_FRESHNESS, FRESHNESS_FACTOR * took)
         if wanted > self._freshness:
             self._freshness = wanted
-            log.info("orders get more time", extra={"freshness": round(wanted, 3)})
-
-    def _ages_of_former(self, now: float) -> dict[str, float]:
-        """Return the former owner's machines that successors have to know of, with their ages."""
-        passed = self._since_former(now)
-        ages = {name: age + passed for name, age in (self._former or {}).items()}
-        bound = max(self._kept, self._pause + self._former_freshness)
+            log.info(
+                "time limit for announced orders raised", extra={"freshness": round(wanted, 3)}
+            )
+
+    def _inherited_ages(self, now: float) -> dict[str, float]:
+        """Return the previous owner's machines that successors have to know, with the ages of the
+        orders."""
+        passed = self._time_since_inherited(now)
+        ages = {name: age + passed for name, age in (self._inherited or {}).items()}
+        bound = max(self._retention, self._exclusion_period + self._inherited_freshness)
         return {name: age for name, age in ages.items() if age <= bound}
--- a/vanillawell/coordination/pool_rebalancer.py
+++ b/vanillawell/coordination/pool_rebalancer.py
@@ -11,7 +11,7 @@
 import anyio
 
 from vanillawell import clock
-from vanillawell.coordination.machine_orders import ARRIVAL_BOUND, Purpose
+from vanillawell.coordination.machine_orders import ARRIVAL_TIMEOUT, ClaimPurpose
 from vanillawell.coordination.pool_demand import DemandMeter, MachineView
 from vanillawell.protocol.calls import NoAnswerError, NotSentError
 from vanillawell.protocol.machine_calls import MachineState, UpkeepRefusedError
@@ -207,12 +207,12 @@
     def _expect(self, machine: str, pool: str, now: float) -> None:
         """Count on a machine to come, and let nothing else be ordered for it meanwhile."""
         self._arriving[machine] = (pool, now)
-        self._orders.claim(machine, Purpose.MOVE)
+        self._orders.claim(machine, ClaimPurpose.MOVE)
 
     def _expect_no_more(self, machine: str) -> None:
         """Count on a machine no more, and let others order it."""
         self._arriving.pop(machine, None)
-        self._orders.release(machine, Purpose.MOVE)
+        self._orders.release(machine, ClaimPurpose.MOVE)
 
     def _close(self, move: MachineMove, executor: Executor | None) -> None:
         """Let nothing start on a machine from the moment its move is decided."""
@@ -245,7 +245,7 @@
         """Count a machine where it is once it has come, or has not come in time."""
         for name, (pool, since) in list(self._arriving.items()):
             executor = lives.get(name)
-            bound = STANDBY_BOUND if pool == standby else ARRIVAL_BOUND
+            bound = STANDBY_BOUND if pool == standby else ARRIVAL_TIMEOUT
             if executor is not None and executor.facts.service == pool:
                 self._expect_no_more(name)
             elif now > since + bound:
--- a/vanillawell/coordination/run_orders.py
+++ b/vanillawell/coordination/run_orders.py
@@ -1,4 +1,4 @@
-"""Send orders to one executor, and find out what became of those without an answer."""
+"""Send orders to one executor, and resolve the outcome of unanswered ones."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import anyio
 
 from vanillawell import clock
-from vanillawell.coordination.executor_link import RETRY_PAUSE, DeposedError
+from vanillawell.coordination.executor_link import RETRY_DELAY, DeposedError
 from vanillawell.protocol.calls import NoAnswerError, NotSentError
 from vanillawell.protocol.executor_calls import (
     OrderRefusedError,
@@ -31,54 +31,69 @@
 
 log = logging.getLogger(__name__)
 
-START_FRESHNESS = 1.0
-"""Seconds after which a stored decision is no longer sent.
+MAX_START_AGE = 1.0
+"""Seconds after which a stored start decision is no longer sent.
 
-A process may have been suspended in between; its successor knows of the decision from the store,
-but not for how long its order would hold a lease."""
+This process may have been suspended since the decision. Its successor reads the decision from the
+store but does not know until when the lease sent with a late order would last.
+"""
 
-LOOKS = 3
-"""Tries to ask at once what became of an order; after that the next waiting call tells."""
+REPORT_ATTEMPTS = 3
+"""Attempts to fetch a report at once to learn the outcome of an order; after that, the next hold
+call delivers it."""
 
-ORDERS_AT_ONCE = 4
-"""Orders under way to one executor; each occupies a connection."""
+MAX_CONCURRENT_ORDERS = 4
+"""Maximum concurrent orders to one executor; each occupies a connection."""
 
 
 class RunOrders:
-    """Start, stop and pace runs on one life of one executor."""
+    """Start, stop and pace runs on one incarnation of one executor."""
 
     def __init__(
         self,
         link: ExecutorLink,
         tasks: TaskGroup,
         notify: Callable[[], None],
-        ask_now: Callable[[], Awaitable[None]],
+        request_report: Callable[[], Awaitable[None]],
     ) -> None:
-        """Take the group that orders run in, what tells the driver of news, and what asks for a
-        report at once and raises as such a call does."""
+        """Initialise the sender.
+
+        Args:
+            link: The state shared by all calls to the executor.
+            tasks: The task group that orders run in.
+            notify: Wakes the driver of the executor.
+            request_report: Fetches a report at once, and raises what a hold call raises.
+        """
         self._link = link
         self._tasks = tasks
         self._notify = notify
-        self._ask_now = ask_now
-        self._slots = anyio.Semaphore(ORDERS_AT_ONCE)
+        self._request_report = request_report
+        self._slots = anyio.Semaphore(MAX_CONCURRENT_ORDERS)
         self._pacer = Pacer()
 
     def submit(self, run: Run, stored_at: float) -> None:
-        """Send a stored decision."""
+        """Send the start order of a stored decision."""
         self._tasks.start_soon(self._start, run, stored_at)
 
     async def _start(self, run: Run, stored_at: float) -> None:
-        if not self._link.contact.is_set():
-            with anyio.move_on_after(START_FRESHNESS):
-                await self._link.contact.wait()
+        if not self._link.first_report.is_set():
+            with anyio.move_on_after(MAX_START_AGE):
+                await self._link.first_report.wait()
         async with self._slots:
             now = clock.read()
-            stale = now - stored_at > START_FRESHNESS and not self._link.term.is_held(now)
-            if run.stop_wanted or stale or not self._link.knows_clock:
-                self._never_began(run, "stopped before" if run.stop_wanted else "stale")
+            stale = now - stored_at > MAX_START_AGE and not self._link.term.is_held(now)
+            if run.stop_wanted or stale or not self._link.has_clock_reading:
+                self._never_began(
+                    run,
+                    (
+                        "stop requested before start"
+                        if run.stop_wanted
+                        else "decision too old or executor clock unknown"
+                    ),
+                )
                 return
             if not self._link.may_extend_lease():
-                self._never_began(run, "lease not extended")
+                self._never_began(run, "lease extension not permitted")
                 return
             await self._send_start(run, now)
         self._notify()
@@ -100,30 +115,30 @@
         try:
             value = await self._link.calls.start(target, order, self._link.term.token)
         except NotSentError as error:
-            self._link.take_back(extension)
+            self._link.revert_extension(extension)
             self._link.suspect()
             self._never_began(run, str(error))
         except NoAnswerError as error:
-            self._link.suspect_if_silent(now)
-            await self._settle_uncertain(run, str(error))
+            self._link.block_if_unresponsive(now)
+            await self._resolve_uncertain(run, str(error))
         except WrongIncarnationError:
-            self._link.note_dead(target, "another executor lives at the address")
-            self._never_began(run, "meant for a former life")
+            self._link.record_termination(target, "another executor answers at the address")
+            self._never_began(run, "addressed to a previous incarnation")
         except OrderRefusedError as error:
             if error.reason is Refused.UNHEALTHY:
-                self._link.take_back(extension)
+                self._link.revert_extension(extension)
             await self._start_refused(run, error)
         else:
             self._started(run, target, value, now)
 
     def _started(self, run: Run, target: Target, value: float, sent: float) -> None:
         now = clock.read()
-        self._link.answered(target.incarnation, value, sent, now)
+        self._link.record_answer(target.incarnation, value, sent, now)
         if run.phase is RunPhase.ORDERED:
             run.enter(RunPhase.RUNNING, now)
         if run.started is None:
             run.started = now
-        log.debug("run confirmed", extra=self._link.describe(run))
+        log.debug("run start confirmed", extra=self._link.describe(run))
 
     async def _start_refused(self, run: Run, error: OrderRefusedError) -> None:
         log.warning(
@@ -132,7 +147,7 @@
         if error.reason is Refused.FENCE:
             raise DeposedError(self._link.executor.name) from error
         if error.reason is Refused.OLD:
-            await self._settle_uncertain(run, error.reason.value)
+            await self._resolve_uncertain(run, error.reason.value)
             return
         if error.reason is Refused.TICKET:
             task_id = run.task.task_id
@@ -142,20 +157,21 @@
             self._link.suspect()
         self._never_began(run, error.reason.value)
 
-    async def _settle_uncertain(self, run: Run, reason: str) -> None:
-        """See whether an order without an answer was carried out; if not, rule it out."""
+    async def _resolve_uncertain(self, run: Run, reason: str) -> None:
+        """Find out whether an unanswered start order was carried out; if not, make sure that it
+        never is."""
         if run.phase is not RunPhase.ORDERED:
             return
         run.enter(RunPhase.UNCERTAIN, clock.read())
         log.warning("start unanswered", extra={**self._link.describe(run), "reason": reason})
-        await self._look_again()
+        await self._refresh_report()
 
     def _never_began(self, run: Run, reason: str) -> None:
         log.info("run never began", extra={**self._link.describe(run), "reason": reason})
         self._link.shard.never_began(run, clock.read(), self._link.wall())
 
     def stop(self, run: Run) -> None:
-        """Stop a run, trying until the executor has confirmed it or the run is over."""
+        """Stop a run, retrying until the executor has confirmed the stop or the run has ended."""
         self._tasks.start_soon(self._stop, run)
 
     async def _stop(self, run: Run) -> None:
@@ -165,37 +181,38 @@
                 run.stop_confirmed = clock.read()
                 log.info("run stopped", extra=self._link.describe(run))
                 break
-            await anyio.sleep(RETRY_PAUSE)
+            await anyio.sleep(RETRY_DELAY)
         if run.phase is not RunPhase.RUNNING and key in self._link.executor.runs:
-            await self._look_again()
+            await self._refresh_report()
 
-    async def _look_again(self) -> None:
-        """Ask for a report at once; the waiting hold was sent too early to settle the matter."""
-        for _ in range(LOOKS):
+    async def _refresh_report(self) -> None:
+        """Fetch a report at once, since the waiting hold call was sent too early to show the
+        outcome."""
+        for _ in range(REPORT_ATTEMPTS):
             target = self._link.target()
             try:
-                await self._ask_now()
+                await self._request_report()
             except (NotSentError, NoAnswerError) as error:
                 fields = {"executor": self._link.executor.name, "why": str(error)}
-                log.warning("executor not asked", extra=fields)
+                log.warning("executor report not received", extra=fields)
             except OrderRefusedError as error:
-                self._link.refused(error)
+                self._link.handle_refusal(error)
                 return
             except WrongIncarnationError:
-                self._link.note_dead(target, "another executor lives at the address")
+                self._link.record_termination(target, "another executor answers at the address")
                 return
             else:
                 return
-            await anyio.sleep(RETRY_PAUSE)
+            await anyio.sleep(RETRY_DELAY)
 
-    def stop_stray(self, stray: StrayStop) -> None:
-        """Stop a run that no task wants."""
-        self._tasks.start_soon(self._stop_stray, stray)
+    def stop_stray(self, orphan: StrayStop) -> None:
+        """Stop a run that no task refers to."""
+        self._tasks.start_soon(self._stop_stray, orphan)
 
-    async def _stop_stray(self, stray: StrayStop) -> None:
-        fields = {"job": stray.task_id.job_id, "task": stray.task_id[1:], "run": stray.run}
-        log.warning("stray run", extra={**fields, "executor": stray.executor})
-        await self._stop_once(stray.task_id, stray.run)
+    async def _stop_stray(self, orphan: StrayStop) -> None:
+        fields = {"job": orphan.task_id.job_id, "task": orphan.task_id[1:], "run": orphan.run}
+        log.warning("stray run", extra={**fields, "executor": orphan.executor})
+        await self._stop_once(orphan.task_id, orphan.run)
 
     async def _stop_once(self, task_id: TaskId, run: int) -> bool:
         sent, target = clock.read(), self._link.target()
@@ -208,10 +225,10 @@
                 "task": task_id[1:],
             }
             log.warning("stop unanswered", extra={**fields, "run": run, "why": str(error)})
-            self._link.suspect_if_silent(sent)
+            self._link.block_if_unresponsive(sent)
             return False
         except WrongIncarnationError:
-            self._link.note_dead(target, "another executor lives at the address")
+            self._link.record_termination(target, "another executor answers at the address")
             return False
         except OrderRefusedError as error:
             if error.reason is Refused.FENCE:
@@ -220,7 +237,7 @@
         return True
 
     def pace(self, now: float) -> None:
-        """Slow down or speed up the tasks that live on what others leave."""
+        """Adjust the pace of tasks that run on otherwise unused capacity."""
         for run, percent in self._pacer.decide(self._link.executor, now):
             self._tasks.start_soon(self._send_pace, run, percent)
 
@@ -230,7 +247,7 @@
                 self._link.target(), run.task.task_id, run.number, percent, self._link.term.token
             )
         except (NotSentError, NoAnswerError, OrderRefusedError, WrongIncarnationError) as error:
-            log.warning("pace not set", extra={**self._link.describe(run), "why": str(error)})
+            log.warning("pace order failed", extra={**self._link.describe(run), "why": str(error)})
             return
         run.pace = percent
         log.info("pace set", extra={**self._link.describe(run), "percent": percent})
--- a/vanillawell/coordination/stop_sender.py
+++ b/vanillawell/coordination/stop_sender.py
@@ -1,7 +1,8 @@
-"""Send orders to stop as soon as they are wanted.
+"""Send stop orders as soon as they are requested.
 
-They need nothing of what a turn stores: the records tell of the run until its end is known, and the
-orders carry the fencing token. An executor that is about to leave waits for no turn.
+Stop orders do not depend on a stored scheduling cycle: job records hold the run until its end is
+known, and the orders carry the fencing token. An executor that is about to leave cannot wait for a
+cycle.
 """
 
 from __future__ import annotations
@@ -24,87 +25,91 @@
 
 log = logging.getLogger(__name__)
 
-PAUSE = 0.1
-"""Seconds after which stops that could not be sent are tried again."""
+RETRY_INTERVAL = 0.1
+"""Seconds after which stops that could not be sent are retried."""
 
 
 class StopSender:
-    """Hand the stops of one term on to the drivers of their executors."""
+    """Pass the stop orders of one term on to the drivers of their executors."""
 
     def __init__(self, shard: Shard, term: Term, drivers: Mapping[str, ExecutorDriver]) -> None:
-        """Take the drivers by executor, as they are at any time."""
+        """Initialise the sender; `drivers` is the live mapping of drivers by executor."""
         self._shard = shard
         self._term = term
         self._drivers = drivers
-        self._wanted = anyio.Event()
-        self._told: dict[str, str] = {}
-        """Why the stops on each executor wait, as last logged."""
+        self._wake_event = anyio.Event()
+        self._logged_reasons: dict[str, str] = {}
+        """The reason that was last logged for the waiting stops of each executor."""
 
         shard.outbox.on_stop = self._wake
 
     def _wake(self) -> None:
-        self._wanted.set()
+        self._wake_event.set()
 
     async def run(self) -> None:
-        """Send what is wanted until cancelled."""
+        """Send requested stops until cancelled."""
         while True:
             self.send(clock.read())
             if self._shard.outbox.stops:
-                with anyio.move_on_after(PAUSE):
-                    await self._wanted.wait()
+                with anyio.move_on_after(RETRY_INTERVAL):
+                    await self._wake_event.wait()
             else:
-                await self._wanted.wait()
-            self._wanted = anyio.Event()
+                await self._wake_event.wait()
+            self._wake_event = anyio.Event()
 
     def send(self, now: float) -> None:
-        """Hand on what can be sent now; stops that can't be wait for the next look."""
+        """Pass on the stops that can be sent now; the others wait for the next attempt."""
         outbox = self._shard.outbox
         stops, outbox.stops = outbox.stops, []
         waiting = {run.executor: "" for run in stops}
         for run in stops:
             if not self._is_charged(run):
-                log.info("stop needless", extra=_describe(run))
-            elif reason := self._obstacle(run, now):
+                log.info("stop not needed: run has ended", extra=_describe(run))
+            elif reason := self._blocking_reason(run, now):
                 waiting[run.executor] = reason
                 outbox.stops.append(run)
             else:
                 self._drivers[run.executor].orders.stop(run)
-        self._tell({name: reason for name, reason in waiting.items() if reason})
+        self._log_waiting({name: reason for name, reason in waiting.items() if reason})
         strays, outbox.stray_stops = outbox.stray_stops, []
-        for stray in strays:
-            self._stop_stray(stray)
+        for orphan in strays:
+            self._stop_stray(orphan)
 
     def _is_charged(self, run: Run) -> bool:
         executor = self._shard.ledger.executors.get(run.executor)
         return executor is not None and (run.task.task_id, run.number) in executor.runs
 
-    def _obstacle(self, run: Run, now: float) -> str:
-        """Return what keeps a stop from being sent now, if anything does.
+    def _blocking_reason(self, run: Run, now: float) -> str:
+        """Return the reason why a stop cannot be sent now, or an empty string.
 
-        What is stopped while the owner's lease has lapsed could not start elsewhere.
+        A task that is stopped while the owner's lease has expired could not start elsewhere.
         """
         if not self._term.is_held(now):
-            return "lease of the owner lapsed"
+            return "lease of the owner expired"
         driver = self._drivers.get(run.executor)
         if driver is None or driver.executor is not self._shard.ledger.executors[run.executor]:
-            return "no driver yet"
+            return "executor has no driver yet"
         return ""
 
-    def _tell(self, waiting: dict[str, str]) -> None:
-        """Log once for each executor why its stops wait."""
+    def _log_waiting(self, waiting: dict[str, str]) -> None:
+        """Log the reason why stops wait, once for each executor."""
         for name, reason in waiting.items():
-            if self._told.get(name) != reason:
+            if self._logged_reasons.get(name) != reason:
                 log.warning("stops wait", extra={"executor": name, "reason": reason})
-        self._told = waiting
+        self._logged_reasons = waiting
 
-    def _stop_stray(self, stray: StrayStop) -> None:
-        """Stop what no task wants; each report that lists it asks for that again."""
-        driver = self._drivers.get(stray.executor)
+    def _stop_stray(self, orphan: StrayStop) -> None:
+        """Stop a run that no task refers to; it is requested again by each report that lists the
+        run."""
+        driver = self._drivers.get(orphan.executor)
         if driver is not None:
-            driver.orders.stop_stray(stray)
+            driver.orders.stop_stray(orphan)
             return
-        fields = {"job": stray.task_id.job_id, "task": stray.task_id[1:], "run": stray.run}
-        log.warning("stray run left", extra={**fields, "executor": stray.executor})
+        fields = {"job": orphan.task_id.job_id, "task": orphan.task_id[1:], "run": orphan.run}
+        log.warning(
+            "orphaned run not stopped: executor has no driver",
+            extra={**fields, "executor": orphan.executor},
+        )
 
 
 def _describe(run: Run) -> dict[str, object]:
--- a/vanillawell/coordination/upkeep_orders.py
+++ b/vanillawell/coordination/upkeep_orders.py
@@ -9,7 +9,7 @@
 import anyio
 
 from vanillawell import clock
-from vanillawell.coordination.machine_orders import Purpose
+from vanillawell.coordination.machine_orders import ClaimPurpose
 from vanillawell.protocol.calls import NoAnswerError, NotSentError
 from vanillawell.protocol.machine_calls import UpkeepRefusal, UpkeepRefusedError
 from vanillawell.state.availability import expect_loss, may_lose_all
@@ -30,7 +30,7 @@
 REPEAT_PAUSE = 0.5
 """Seconds before an order without an answer is repeated; if it was done, that changes nothing."""
 
-ORDERS_AT_ONCE = 8
+MAX_CONCURRENT_ORDERS = 8
 """Orders for upkeep that are under way at the same time."""
 
 
@@ -64,12 +64,12 @@
 
     def reserve(self, machine: str) -> None:
         """Keep a machine whose upkeep was decided from all other use until it is settled."""
-        self._orders.claim(machine, Purpose.UPKEEP)
+        self._orders.claim(machine, ClaimPurpose.UPKEEP)
         self._shard.ledger.close_machine(machine)
 
     def _settle(self, machine: str) -> None:
         """Let a machine be used again, since its order was answered."""
-        self._orders.release(machine, Purpose.UPKEEP)
+        self._orders.release(machine, ClaimPurpose.UPKEEP)
         self._shard.ledger.open_machine(machine)
 
     async def begin(self, progress: WaveProgress, machines: Iterable[str]) -> None:
@@ -105,7 +105,7 @@
                 await self._send(progress, name)
 
         async with anyio.create_task_group() as senders:
-            for _ in range(min(ORDERS_AT_ONCE, len(names))):
+            for _ in range(min(MAX_CONCURRENT_ORDERS, len(names))):
                 senders.start_soon(send_next)
 
     async def _send(self, progress: WaveProgress, name: str) -> None:
--- a/vanillawell/tests/driver_clocks_tests.py
+++ b/vanillawell/tests/driver_clocks_tests.py
@@ -1,4 +1,4 @@
-"""Test whose clocks an owner leaves for its successors to tell the time by."""
+"""Test which executors' clocks an owner stores for its successors."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 
 
 @dataclass
-class Reader:
-    """What a driver knows of the clock of its executor."""
+class StubDriver:
+    """Stand in for a driver that reads the clock of its executor."""
 
     executor: Executor
     clock: ExecutorClock = field(default_factory=ExecutorClock)
 
     @property
-    def knows_clock(self) -> bool:
-        """Tell whether the clock was read."""
+    def has_clock_reading(self) -> bool:
+        """Return whether the clock was read."""
         return self.clock.value is not None
 
     def read(self, now: float) -> None:
@@ -34,18 +34,18 @@
         self.clock.note(now - 90.0, now, now)
 
 
-def test_the_clocks_of_silent_executors_are_not_left_before_those_of_sound_ones() -> None:
-    """All executors with lasting tasks are out of touch. A successor can read none of their clocks,
-    so no time would count as passed for it, and the wait for their leases begins anew."""
-    bench, lost = Bench(), []
+def test_clocks_of_healthy_executors_precede_those_of_unresponsive_ones() -> None:
+    """All executors with long-running tasks are unreachable. A successor could read none of their
+    clocks, so it could count no elapsed time and would wait for their full leases again."""
+    bench, unresponsive = Bench(), []
     for number in range(REFERENCE_CLOCKS):
-        reader = Reader(busy_executor(bench, f"i-{number}"))
-        reader.read(bench.now)
-        reader.executor.silent_since = bench.now
-        lost.append(reader)
-    assert all(has_lasting(reader.executor) for reader in lost)
-    sound = Reader(bench.register(facts("i-sound")))
-    sound.read(bench.now + 1.0)
-    readers = {item.executor.name: item for item in (*lost, sound)}
-    clocks = DriverClocks(cast("dict[str, ExecutorDriver]", readers)).at_most(bench.now + 1.0)
+        driver = StubDriver(busy_executor(bench, f"i-{number}"))
+        driver.read(bench.now)
+        driver.executor.silent_since = bench.now
+        unresponsive.append(driver)
+    assert all(has_lasting(driver.executor) for driver in unresponsive)
+    healthy = StubDriver(bench.register(facts("i-sound")))
+    healthy.read(bench.now + 1.0)
+    drivers = {item.executor.name: item for item in (*unresponsive, healthy)}
+    clocks = DriverClocks(cast("dict[str, ExecutorDriver]", drivers)).at_most(bench.now + 1.0)
     assert "i-sound@1" in itertools.islice(clocks, REFERENCE_CLOCKS)
--- a/vanillawell/tests/executor_link_tests.py
+++ b/vanillawell/tests/executor_link_tests.py
@@ -1,4 +1,4 @@
-"""Test on plain data how long an executor is taken to hold leases."""
+"""Test how long an owner assumes that an executor holds leases, on plain data."""
 
 from __future__ import annotations
 
@@ -17,34 +17,36 @@
 def link() -> ExecutorLink:
     """Return the link to an executor whose clock was read at 0."""
     bench = Bench(facts("i-0"))
-    nothing = cast("Any", None)
+    unused = cast("Any", None)
     executor = bench.shard.ledger.executors["i-0"]
     made = ExecutorLink(
-        executor, nothing, bench.shard, nothing, nothing, lambda: None, float, 6.0, KILL_GRACE
+        executor, unused, bench.shard, unused, unused, lambda: None, float, 6.0, KILL_GRACE
     )
-    made.enter_life(executor.facts.incarnation)
-    made.answered(executor.facts.incarnation, 100.0, 0.0, 0.0)
+    made.begin_incarnation(executor.facts.incarnation)
+    made.record_answer(executor.facts.incarnation, 100.0, 0.0, 0.0)
     executor.lease_over = 0.0
     return made
 
 
-def test_a_call_that_did_nothing_extends_no_lease(link: ExecutorLink) -> None:
-    """Else a task stays charged to an executor that refuses all calls."""
+def test_lease_is_reverted_after_call_without_effect(link: ExecutorLink) -> None:
+    """Otherwise a task stays charged to an executor that refuses all calls."""
     first = link.extend_lease(0.0)
-    over = link.executor.lease_over
-    link.take_back(link.extend_lease(1.0))
-    assert link.executor.lease_over == over
-    link.take_back(first)
-    assert link.executor.lease_over == over  # a later call was under way, so this stays too long
-
-
-def test_a_refusal_takes_back_no_lease_of_a_later_call(link: ExecutorLink) -> None:
-    """A later call may arrive though an earlier one was refused; a task given up too early would
-    run twice. After a new reading the later lease may even end a little before the earlier one."""
-    link.answered(link.executor.facts.incarnation, 102.0, 2.0, 2.0)
+    expiry = link.executor.lease_over
+    link.revert_extension(link.extend_lease(1.0))
+    assert link.executor.lease_over == expiry
+    link.revert_extension(first)
+    # A later lease had been sent, so the longer bound stays.
+    assert link.executor.lease_over == expiry
+
+
+def test_refusal_does_not_revert_lease_of_later_call(link: ExecutorLink) -> None:
+    """The later call may still arrive although the earlier one was refused; a task released too
+    early would run twice. After a new clock reading, the later lease may even end slightly before
+    the earlier one."""
+    link.record_answer(link.executor.facts.incarnation, 102.0, 2.0, 2.0)
     first = link.extend_lease(3.0)
-    link.answered(link.executor.facts.incarnation, 103.0, 3.0, 3.0)
+    link.record_answer(link.executor.facts.incarnation, 103.0, 3.0, 3.0)
     link.extend_lease(3.0)
-    over = link.executor.lease_over
-    link.take_back(first)
-    assert link.executor.lease_over == over
+    expiry = link.executor.lease_over
+    link.revert_extension(first)
+    assert link.executor.lease_over == expiry
--- a/vanillawell/tests/late_refusal_tests.py
+++ b/vanillawell/tests/late_refusal_tests.py
@@ -1,4 +1,5 @@
-"""Prove that an answer about a former life of an executor says nothing of its present one."""
+"""Test that an answer about a previous incarnation of an executor does not affect the current
+one."""
 
 from __future__ import annotations
 
@@ -13,9 +14,9 @@
 from vanillawell.tests.scheduling_builders import Bench, facts, job
 
 
-class MovedMeanwhile:
-    """Take the place of the calls to an executor: it starts again elsewhere during a call, and
-    whoever lives at its former address by then refuses it."""
+class RestartedElsewhere:
+    """Executor calls during which the executor restarts at another address; whatever answers at the
+    previous address refuses the call."""
 
     def __init__(self, bench: Bench) -> None:
         self._bench = bench
@@ -32,66 +33,68 @@
         raise WrongIncarnationError("i-0")
 
 
-def link_to(bench: Bench) -> ExecutorLink:
-    """Return the link to an executor whose first life's clock was read."""
-    nothing = cast("Any", None)
+def make_link(bench: Bench) -> ExecutorLink:
+    """Return the link to an executor whose first incarnation's clock was read."""
+    unused = cast("Any", None)
     link = ExecutorLink(
         bench.shard.ledger.executors["i-0"],
-        cast("Any", MovedMeanwhile(bench)),
+        cast("Any", RestartedElsewhere(bench)),
         bench.shard,
         cast("Any", type("Token", (), {"token": 1})),
-        nothing,
+        unused,
         lambda: None,
         lambda: bench.now,
         6.0,
         0.1,
     )
-    link.enter_life(1)
-    link.answered(1, 10.0, bench.now, bench.now)
+    link.begin_incarnation(1)
+    link.record_answer(1, 10.0, bench.now, bench.now)
     return link
 
 
-def orders_of(bench: Bench) -> RunOrders:
-    """Return what sends orders over such a link."""
-    nothing = cast("Any", None)
-    return RunOrders(link_to(bench), nothing, lambda: None, nothing)
+def make_orders(bench: Bench) -> RunOrders:
+    """Return the order sender of such a link."""
+    unused = cast("Any", None)
+    return RunOrders(make_link(bench), unused, lambda: None, unused)
 
 
-def test_a_refusal_at_a_former_address_does_not_end_a_new_life() -> None:
-    """The order was meant for a life that is over. Taken for the new one, that would get no work
-    for as long as it lives, and what it runs would be started once more."""
+def test_refusal_at_previous_address_does_not_terminate_new_incarnation() -> None:
+    """The order was addressed to a terminated incarnation. If the refusal were applied to the new
+    one, that one would get no tasks for as long as it lives, and its runs would be started a second
+    time."""
     bench = Bench(facts("i-0"))
     bench.admit(job())
     (run,) = bench.place()
     assert run.phase is RunPhase.RUNNING
 
     async def stop() -> None:
-        await orders_of(bench)._stop_once(run.task.task_id, run.number)
+        await make_orders(bench)._stop_once(run.task.task_id, run.number)
 
     anyio.run(stop)
-    present = facts("i-0", incarnation=2, address="127.0.0.1:2")
-    assert not bench.shard.ledger.is_over(present)
+    current = facts("i-0", incarnation=2, address="127.0.0.1:2")
+    assert not bench.shard.ledger.is_over(current)
 
 
-def test_a_start_refused_for_a_former_life_is_not_charged_to_the_new_one() -> None:
-    """The run began nowhere. Left as ordered on the new life, whose leases are renewed for it, the
-    task would be away for as long as that lives."""
+def test_start_refused_for_previous_incarnation_is_not_charged_to_new_one() -> None:
+    """The run never began. If it stayed charged to the new incarnation, whose leases are renewed
+    for it, the task would not run again for as long as that incarnation lives."""
     bench = Bench(facts("i-0"))
     bench.admit(job())
     bench.shard.place(bench.now, bench.now)
     (run,) = bench.shard.outbox.planned
 
     async def start() -> None:
-        await orders_of(bench)._send_start(run, bench.now)
+        await make_orders(bench)._send_start(run, bench.now)
 
     anyio.run(start)
     assert not bench.shard.ledger.executors["i-0"].runs
     assert run.task.run is None
 
 
-def test_a_late_answer_of_a_former_life_does_not_bring_it_back() -> None:
-    """The new life has reported when an answer of the former one arrives. Taken for the present
-    life, it would let the refusal of the next call end what the new one runs."""
+def test_late_answer_of_previous_incarnation_does_not_restore_it() -> None:
+    """An answer of the previous incarnation arrives after the new one has reported. If it were
+    taken for the current incarnation, the refusal of the next call would end the runs of the new
+    one."""
     bench = Bench(facts("i-0"))
     sent = bench.now - 1.0
     executor = bench.register(facts("i-0", incarnation=2))
@@ -103,8 +106,8 @@
     assert run.task.run is run
 
 
-def test_a_report_on_a_later_call_is_believed_of_the_life() -> None:
-    """An entry that names a life which never was must not make all reports count for nothing."""
+def test_report_on_later_call_corrects_wrong_incarnation_from_registry() -> None:
+    """A registry entry with an incarnation that never existed must not invalidate all reports."""
     bench = Bench(facts("i-0"))
     executor = bench.register(facts("i-0", incarnation=9))
     bench.now += 1.0
--- a/vanillawell/tests/stop_sender_tests.py
+++ b/vanillawell/tests/stop_sender_tests.py
@@ -1,4 +1,4 @@
-"""Prove on plain data which orders to stop go out at once, and which wait."""
+"""Test which stop orders are sent at once and which wait, on plain data."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 
 
 @dataclass
-class NotedOrders:
-    """Note the stops that a driver is given."""
+class RecordingOrders:
+    """Record the stops that are passed to a driver."""
 
     stopped: list[Run] = field(default_factory=list)
     strays: list[StrayStop] = field(default_factory=list)
@@ -28,21 +28,21 @@
     def stop(self, run: Run) -> None:
         self.stopped.append(run)
 
-    def stop_stray(self, stray: StrayStop) -> None:
-        self.strays.append(stray)
+    def stop_stray(self, orphan: StrayStop) -> None:
+        self.strays.append(orphan)
 
 
 @dataclass
-class NotingDriver:
-    """Stand in for the driver of one life of an executor."""
+class RecordingDriver:
+    """Stand in for the driver of one incarnation of an executor."""
 
     executor: Executor
-    orders: NotedOrders = field(default_factory=NotedOrders)
+    orders: RecordingOrders = field(default_factory=RecordingOrders)
 
 
 @dataclass
 class FixedTerm:
-    """A term whose lease holds as the test says."""
+    """A term whose lease state is set by the test."""
 
     held: bool = True
 
@@ -50,21 +50,21 @@
         return self.held
 
 
-class Sending:
+class StopScenario:
     """A shard with one run, and the sender of its stops."""
 
     def __init__(self) -> None:
         self.bench = Bench(facts("i-0"))
         self.bench.admit(job(step(long_running=True)))
         (self.run,) = self.bench.place()
-        self.drivers: dict[str, NotingDriver] = {}
+        self.drivers: dict[str, RecordingDriver] = {}
         self.term = FixedTerm()
         fields: tuple[Any, ...] = (self.term, self.drivers)
         self.sender = StopSender(self.bench.shard, *fields)
 
-    def drive(self) -> NotedOrders:
-        """Give the executor its driver."""
-        driver = NotingDriver(self.bench.shard.ledger.executors["i-0"])
+    def add_driver(self) -> RecordingOrders:
+        """Add the driver of the executor."""
+        driver = RecordingDriver(self.bench.shard.ledger.executors["i-0"])
         self.drivers["i-0"] = driver
         return driver.orders
 
@@ -72,75 +72,75 @@
         self.sender.send(self.bench.now)
 
 
-def test_a_stop_is_sent_once() -> None:
-    sending = Sending()
-    orders = sending.drive()
-    sending.bench.shard.want_stop(sending.run)
+def test_stop_is_sent_once() -> None:
+    scenario = StopScenario()
+    orders = scenario.add_driver()
+    scenario.bench.shard.want_stop(scenario.run)
     for _ in range(2):
-        sending.send()
-    assert orders.stopped == [sending.run]
+        scenario.send()
+    assert orders.stopped == [scenario.run]
 
 
-def test_a_stop_waits_for_the_driver_of_its_executor(caplog: pytest.LogCaptureFixture) -> None:
-    """A new owner finds the run of a cancelled job before it has driven any executor. Dropped, the
-    stop would never be wanted again, and the run would go on for as long as its lease is renewed.
-    """
-    sending = Sending()
-    sending.bench.shard.want_stop(sending.run)
+def test_stop_waits_until_executor_has_driver(caplog: pytest.LogCaptureFixture) -> None:
+    """A new owner loads the run of a cancelled job before the executor has a driver. If the stop
+    were dropped, it would never be requested again, and the run would go on for as long as its
+    lease is renewed."""
+    scenario = StopScenario()
+    scenario.bench.shard.want_stop(scenario.run)
     with caplog.at_level(logging.WARNING):
         for _ in range(3):
-            sending.send()
+            scenario.send()
     assert [record.getMessage() for record in caplog.records] == ["stops wait"]
-    orders = sending.drive()
-    sending.send()
-    assert orders.stopped == [sending.run]
-
-
-def test_a_stop_is_not_given_to_the_driver_of_an_executor_that_was_forgotten() -> None:
-    """An executor has left with nothing on it, and registers again: its former driver ends."""
-    sending = Sending()
-    former = sending.drive()
-    former_driver = sending.drivers["i-0"]
-    former_driver.executor = Bench(facts("i-0")).shard.ledger.executors["i-0"]
-    sending.bench.shard.want_stop(sending.run)
-    sending.send()
-    assert former.stopped == []
-    orders = sending.drive()
-    sending.send()
-    assert orders.stopped == [sending.run]
-
-
-def test_nothing_is_stopped_while_the_lease_of_the_owner_has_lapsed() -> None:
-    """The store is away, so nothing could start in place of what was stopped."""
-    sending = Sending()
-    orders = sending.drive()
-    sending.term.held = False
-    sending.bench.shard.want_stop(sending.run)
-    sending.send()
+    orders = scenario.add_driver()
+    scenario.send()
+    assert orders.stopped == [scenario.run]
+
+
+def test_stop_is_not_sent_through_driver_of_removed_executor() -> None:
+    """An executor left without any runs and registers again, so its previous driver terminates."""
+    scenario = StopScenario()
+    previous_orders = scenario.add_driver()
+    previous_driver = scenario.drivers["i-0"]
+    previous_driver.executor = Bench(facts("i-0")).shard.ledger.executors["i-0"]
+    scenario.bench.shard.want_stop(scenario.run)
+    scenario.send()
+    assert previous_orders.stopped == []
+    orders = scenario.add_driver()
+    scenario.send()
+    assert orders.stopped == [scenario.run]
+
+
+def test_stops_wait_while_owner_lease_is_expired() -> None:
+    """The store is unavailable, so nothing could start in place of the stopped run."""
+    scenario = StopScenario()
+    orders = scenario.add_driver()
+    scenario.term.held = False
+    scenario.bench.shard.want_stop(scenario.run)
+    scenario.send()
     assert orders.stopped == []
-    sending.term.held = True
-    sending.send()
-    assert orders.stopped == [sending.run]
-
-
-def test_a_run_that_is_over_is_not_stopped() -> None:
-    """Its end was reported while the stop waited."""
-    sending = Sending()
-    sending.bench.shard.want_stop(sending.run)
-    sending.send()
-    sending.bench.end(sending.run, Ending.STOPPED)
-    orders = sending.drive()
-    sending.send()
+    scenario.term.held = True
+    scenario.send()
+    assert orders.stopped == [scenario.run]
+
+
+def test_ended_run_is_not_stopped() -> None:
+    """The end of the run was reported while the stop waited."""
+    scenario = StopScenario()
+    scenario.bench.shard.want_stop(scenario.run)
+    scenario.send()
+    scenario.bench.end(scenario.run, Ending.STOPPED)
+    orders = scenario.add_driver()
+    scenario.send()
     assert orders.stopped == []
-    assert sending.bench.shard.outbox.stops == []
-
-
-def test_what_no_task_wants_is_stopped_even_while_the_lease_has_lapsed() -> None:
-    """Nothing has to start in its place, and it may run beside the run that counts."""
-    sending = Sending()
-    orders = sending.drive()
-    sending.term.held = False
-    stray = StrayStop("i-0", sending.run.task.task_id, 7)
-    sending.bench.shard.outbox.stop_stray(stray)
-    sending.send()
-    assert orders.strays == [stray]
+    assert scenario.bench.shard.outbox.stops == []
+
+
+def test_orphaned_run_is_stopped_while_owner_lease_is_expired() -> None:
+    """Nothing has to start in its place, and it may run in parallel with the task's current run."""
+    scenario = StopScenario()
+    orders = scenario.add_driver()
+    scenario.term.held = False
+    orphan = StrayStop("i-0", scenario.run.task.task_id, 7)
+    scenario.bench.shard.outbox.stop_stray(orphan)
+    scenario.send()
+    assert orders.strays == [orphan]
