--- a/vanillawell/coordination/cycle_log.py
+++ b/vanillawell/coordination/cycle_log.py
@@ -1,8 +1,7 @@
 """Log the tasks that one scheduling cycle started and those it recorded as done.
 
-At peak load hundreds of tasks start and end per second. With one line per task, the limit on lines
-of a kind would drop exactly the lines that explain a late job. Each line therefore holds several
-tasks, each with all its fields.
+Peaks start and end hundreds of tasks a second. With a line for each, the bound on lines of a kind
+would leave out just those that explain a late job; so a line holds many tasks, each whole.
 """
 
 from __future__ import annotations
@@ -18,8 +17,8 @@
 
 log = logging.getLogger(__name__)
 
-TASKS_PER_LINE = 32
-"""Tasks per log line; a line of 32 tasks takes about two kilobytes."""
+ROWS_IN_A_LINE = 32
+"""Tasks in one log line, some two kilobytes."""
 
 
 def log_started_tasks(runs: Sequence[Run], token: int) -> None:
@@ -36,5 +35,5 @@
 
 
 def _log_rows(message: str, rows: list[list[object]], token: int) -> None:
-    for first in range(0, len(rows), TASKS_PER_LINE):
-        log.info(message, extra={"runs": rows[first : first + TASKS_PER_LINE], "token": token})
+    for first in range(0, len(rows), ROWS_IN_A_LINE):
+        log.info(message, extra={"runs": rows[first : first + ROWS_IN_A_LINE], "token": token})
