--- a/vanillawell/coordination/upkeep_runner.py
+++ b/vanillawell/coordination/upkeep_runner.py
@@ -190,9 +190,8 @@
             return
         machines = await self._ports.machines.list_machines()
         self._machines = {item.name: item for item in machines}
-        self._listed_at = (
-            now  # the time of the request, since the list may be older than its answer
-        )
+        # The time of the request, since the list may be older than its answer.
+        self._listed_at = now
 
     async def _advance(self, progress: WaveProgress) -> None:
         now = clock.read()
