--- a/vanillawell/coordination/drain_runner.py
+++ b/vanillawell/coordination/drain_runner.py
@@ -49,10 +49,10 @@
 
     def check(self, now: float) -> None:
         """Stop the runs that can or must leave their executors now."""
-        found = leaving(self._shard.ledger.executors.values())
-        for executor in found:
+        departing = leaving(self._shard.ledger.executors.values())
+        for executor in departing:
             self._drain(executor, now)
-        for name in self._logged_outcomes.keys() - {item.name for item in found}:
+        for name in self._logged_outcomes.keys() - {item.name for item in departing}:
             self._log_departure(name, now)
 
     def _drain(self, executor: Executor, now: float) -> None:
@@ -69,12 +69,12 @@
             self._wake()
 
     def _outcome(self, executor: Executor, now: float) -> str:
-        left = lasting_runs(executor)
-        if not left:
+        remaining_runs = lasting_runs(executor)
+        if not remaining_runs:
             return "empty"
         if leaves_soon(executor, self._kill_grace, now):
             return "all stopped"
-        return "moving" if any(run.stop_wanted for run in left) else "held"
+        return "moving" if any(run.stop_wanted for run in remaining_runs) else "held"
 
     def _stop_run(self, executor: Executor, run: Run, now: float) -> None:
         soon = leaves_soon(executor, self._kill_grace, now)
--- a/vanillawell/coordination/executor_driver.py
+++ b/vanillawell/coordination/executor_driver.py
@@ -275,12 +275,12 @@
         if self._executor.silent_since is None:
             now = clock.read()
             self._executor.silent_since = now
-            left = self._executor.lease_over - now
+            lease_left = self._executor.lease_over - now
             fields = {
                 "dependency": self._executor.name,
                 "reason": str(error),
                 "runs": len(self._executor.runs),
-                "lease_left": round(max(0.0, left), 3),
+                "lease_left": round(max(0.0, lease_left), 3),
             }
             log.warning("dependency lost", extra=fields)
             self._link.wake_owner()
--- a/vanillawell/coordination/loss_detector.py
+++ b/vanillawell/coordination/loss_detector.py
@@ -72,10 +72,10 @@
             item.name: (item.executor or "") if item.state is MachineState.UP else ""
             for item in machines
         }
-        found = losses(list(self._shard.ledger.executors.values()), listed_executors, asked)
-        missing_twice = [item for item in found.missing if life_of(item) in self._missing]
-        self._missing = {life_of(item) for item in found.missing if item not in missing_twice}
-        for executor in found.ended:
+        result = losses(list(self._shard.ledger.executors.values()), listed_executors, asked)
+        missing_twice = [item for item in result.missing if life_of(item) in self._missing]
+        self._missing = {life_of(item) for item in result.missing if item not in missing_twice}
+        for executor in result.ended:
             self._record_termination(executor, "another state of its machine", asked)
         for executor in missing_twice:
             self._record_termination(executor, "on no machine, twice", asked)
@@ -102,6 +102,6 @@
         if executor.contacted or not executor.runs:
             continue
         fields = {"executor": executor.name, "token": token, "registered": executor.registered}
-        left = round(max(0.0, executor.lease_over - now), 3)
-        figures = {"runs": len(executor.runs), "lease_left": left}
+        lease_left = round(max(0.0, executor.lease_over - now), 3)
+        figures = {"runs": len(executor.runs), "lease_left": lease_left}
         log.warning("executor not reached", extra={**fields, **figures})
--- a/vanillawell/coordination/machine_orders.py
+++ b/vanillawell/coordination/machine_orders.py
@@ -104,15 +104,15 @@
         if self._inherited is not None:
             return True
         try:
-            found = await self._store.get(self._key)
+            stored = await self._store.get(self._key)
         except StoreError as error:
             log.warning("machine orders of the previous owner not read", extra={"why": str(error)})
             return False
-        if found is None:
+        if stored is None:
             self._inherited = {}
             return True
         try:
-            self._read_announcement(found.value)
+            self._read_announcement(stored.value)
         except (ValueError, TypeError, KeyError, AttributeError) as error:
             # The document is damaged or of an earlier version: any machine may have a recent order.
             log.error("machine orders of the previous owner unreadable", extra={"why": repr(error)})
@@ -204,12 +204,12 @@
         """
         now = clock.read()
         recent = {
-            name: moment
-            for name, moment in self._recent_orders.items()
-            if moment > now - self._retention
+            name: ordered_at
+            for name, ordered_at in self._recent_orders.items()
+            if ordered_at > now - self._retention
         }
         self._recent_orders = {**recent, **dict.fromkeys(machines, now)}
-        ages = {name: now - moment for name, moment in self._recent_orders.items()}
+        ages = {name: now - ordered_at for name, ordered_at in self._recent_orders.items()}
         self._pools.update(machines)
         pools = {**self._inherited_pools, **self._pools}
         clocks = dict(itertools.islice(self._clocks.at_most(now).items(), REFERENCE_CLOCKS))
@@ -230,12 +230,10 @@
         With a fixed limit of half a second, no order was sent for as long as the store was slow,
         and a pool stayed at half of its required size during a peak.
         """
-        wanted = min(MAX_ORDER_FRESHNESS, FRESHNESS_FACTOR * took)
-        if wanted > self._freshness:
-            self._freshness = wanted
-            log.info(
-                "time limit for announced orders raised", extra={"freshness": round(wanted, 3)}
-            )
+        limit = min(MAX_ORDER_FRESHNESS, FRESHNESS_FACTOR * took)
+        if limit > self._freshness:
+            self._freshness = limit
+            log.info("time limit for announced orders raised", extra={"freshness": round(limit, 3)})
 
     def _inherited_ages(self, now: float) -> dict[str, float]:
         """Return the previous owner's machines that successors have to know, with the ages of the
--- a/vanillawell/coordination/pool_demand.py
+++ b/vanillawell/coordination/pool_demand.py
@@ -161,8 +161,8 @@
     def _size(self, pool: str) -> Resources:
         """Return the capacity of one machine of a pool, or that of another pool if it never had a
         machine."""
-        known = self._sizes.get(pool)
-        return known or max(self._sizes.values(), key=lambda size: size.cpu, default=NOTHING)
+        known_size = self._sizes.get(pool)
+        return known_size or max(self._sizes.values(), key=lambda size: size.cpu, default=NOTHING)
 
     def _count_arriving(self, pool: str, snapshot: MachineSnapshot, now: float) -> int:
         """Return the number of a pool's machines on which no executor is registered yet."""
--- a/vanillawell/coordination/pool_rebalancer.py
+++ b/vanillawell/coordination/pool_rebalancer.py
@@ -180,7 +180,7 @@
         unusable.
         """
         zones = {executor.facts.zone for executor in executors.values()}
-        reached = {item.facts.zone for item in executors.values() if item.is_sound(now)}
+        reachable_zones = {item.facts.zone for item in executors.values() if item.is_sound(now)}
         spare = [
             item
             for item in self._machines.values()
@@ -190,7 +190,7 @@
             and not self._orders.is_claimed(item.name)
             and self._orders.may_order(item.name, now)
         ]
-        spare.sort(key=lambda item: item.zone not in zones - reached)
+        spare.sort(key=lambda item: item.zone not in zones - reachable_zones)
         return [item.name for item in spare]
 
     def _log_needs(self, pools: list[PoolDemand]) -> None:
--- a/vanillawell/coordination/upkeep_runner.py
+++ b/vanillawell/coordination/upkeep_runner.py
@@ -138,14 +138,14 @@
 
     async def _load_wave(self, wave: Wave) -> WaveProgress:
         """Load the progress that a wave made under previous owners."""
-        found = await self._ports.store.get(self._keys.wave(wave.number))
+        stored = await self._ports.store.get(self._keys.wave(wave.number))
         progress = WaveProgress(wave, self._policies.waves_seen[wave.number])
         self._ages[wave.number] = WaveAge()
-        if found is None:
+        if stored is None:
             await self._save(progress)
             return progress
         try:
-            document = orjson.loads(found.value)
+            document = orjson.loads(stored.value)
             self._ages[wave.number] = WaveAge.from_document(document)
             progress.decided = set(document["decided"])
             progress.confirmed = set(document["confirmed"])
--- a/vanillawell/coordination/wave_age.py
+++ b/vanillawell/coordination/wave_age.py
@@ -57,5 +57,5 @@
 
         Raises TypeError, ValueError or AttributeError if the fields have other types.
         """
-        clocks = {str(life): float(value) for life, value in document.get("clocks", {}).items()}
+        clocks = {str(key): float(value) for key, value in document.get("clocks", {}).items()}
         return cls(max(0.0, float(document.get("age", 0.0))), clocks)
--- a/vanillawell/tests/rotating_peaks_tests.py
+++ b/vanillawell/tests/rotating_peaks_tests.py
@@ -43,6 +43,6 @@
 
 def test_machine_use_and_moves_are_limited(days: list[DayOutcome]) -> None:
     """Users keep four pools of six machines today, and a peak needs more than that."""
-    kept = statistics.mean(day.machine_seconds for day in days) / DAY_SECONDS
-    assert kept < 24
+    machines_in_use = statistics.mean(day.machine_seconds for day in days) / DAY_SECONDS
+    assert machines_in_use < 24
     assert statistics.mean(day.moves for day in days) < 4 * 2 * 30
