--- a/vanillawell/coordination/cycle_log.py
+++ b/vanillawell/coordination/cycle_log.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from vanillawell.state.outbox import DoneTask
+    from vanillawell.state.outbox import CompletedTask
     from vanillawell.state.work import Run
 
 log = logging.getLogger(__name__)
@@ -28,7 +28,7 @@
     )
 
 
-def log_done_tasks(tasks: Sequence[DoneTask], token: int) -> None:
+def log_done_tasks(tasks: Sequence[CompletedTask], token: int) -> None:
     """Log which tasks are done; each row holds the task's id, its run, the executor and the seconds
     since its start."""
     _log_rows("tasks done", [[*item.task_id, *item[1:]] for item in tasks], token)
--- a/vanillawell/coordination/driver_clocks.py
+++ b/vanillawell/coordination/driver_clocks.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING
 
-from vanillawell.state.availability import has_lasting
-from vanillawell.state.upkeep import life_of
+from vanillawell.state.availability import has_long_running
+from vanillawell.state.upkeep import incarnation_id
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -19,13 +19,14 @@
     def __init__(self, drivers: Mapping[str, ExecutorDriver]) -> None:
         self._drivers = drivers
 
-    def at_least(self, now: float) -> dict[str, float]:
+    def lower_bound(self, now: float) -> dict[str, float]:
         """Return lower bounds of what the clocks show now, by executor incarnation."""
         return {
-            life_of(item.executor): item.clock.at_least(now) for item in self._readable_drivers()
+            incarnation_id(item.executor): item.clock.lower_bound(now)
+            for item in self._readable_drivers()
         }
 
-    def at_most(self, now: float) -> dict[str, float]:
+    def upper_bound(self, now: float) -> dict[str, float]:
         """Return upper bounds of what the clocks show now, by executor incarnation.
 
         Clocks that a successor can probably read come first: those of reachable executors, then
@@ -35,12 +36,12 @@
         read = sorted(
             self._readable_drivers(),
             key=lambda item: (
-                item.executor.is_out_of_touch,
-                not has_lasting(item.executor),
+                item.executor.is_unconfirmed,
+                not has_long_running(item.executor),
                 -item.clock.read_at,
             ),
         )
-        return {life_of(item.executor): item.clock.at_most(now) for item in read}
+        return {incarnation_id(item.executor): item.clock.upper_bound(now) for item in read}
 
     def _readable_drivers(self) -> list[ExecutorDriver]:
         return [item for item in self._drivers.values() if item.has_clock_reading]
--- a/vanillawell/coordination/executor_driver.py
+++ b/vanillawell/coordination/executor_driver.py
@@ -9,7 +9,7 @@
 
 from vanillawell import clock
 from vanillawell.coordination.executor_link import RETRY_DELAY
-from vanillawell.coordination.leases import HOLDING_AFTER_LAPSE
+from vanillawell.coordination.leases import RENEWAL_AFTER_LAPSE
 from vanillawell.coordination.run_orders import RunOrders
 from vanillawell.protocol.calls import NoAnswerError, NotSentError
 from vanillawell.protocol.executor_calls import OrderRefusedError, WrongIncarnationError
@@ -110,8 +110,8 @@
         if not executor.facts.address:
             return False
         return (
-            executor.is_out_of_touch
-            or executor.asked_from is not None
+            executor.is_unconfirmed
+            or executor.order_void_since is not None
             or any(run.phase is not RunPhase.PLANNED for run in executor.runs.values())
             or self._confirmable_end() > self._confirmed_end
             or bool(executor.unsaved_ends)
@@ -126,7 +126,7 @@
             with anyio.move_on_after(self._storage_timeout()):
                 while self._executor.unsaved_ends and self._is_needed():
                     await self._wait_for_wake()
-        if not self._executor.is_out_of_touch:
+        if not self._executor.is_unconfirmed:
             await self._await_lease_extension()
         sent, target = clock.read(), self._link.target()
         try:
@@ -164,9 +164,9 @@
 
     def _hold_wait(self) -> float:
         """Return the seconds that the next hold call may wait for a run to end."""
-        if not self._executor.contacted or self._executor.silent_since is not None:
+        if not self._executor.contacted or self._executor.unresponsive_since is not None:
             return 0.0
-        if self._executor.asked_from is not None:
+        if self._executor.order_void_since is not None:
             return 0.0
         if not self._link.may_extend_lease():
             return SHORT_HOLD_WAIT
@@ -178,7 +178,7 @@
     @staticmethod
     def _needs_short_hold(run: Run) -> bool:
         spec = run.task.step.spec
-        return not spec.long_running or not run.at_work or bool(spec.tail_target)
+        return not spec.long_running or not run.is_available or bool(spec.tail_target)
 
     async def hold(self, wait: float) -> None:
         """Renew the lease, confirm the stored ends and process the report."""
@@ -196,7 +196,7 @@
             raise
         if not self._is_needed():
             return
-        if self._executor.is_of_former_life(report.incarnation, sent):
+        if self._executor.is_from_earlier_incarnation(report.incarnation, sent):
             fields = {"executor": self._executor.name, "incarnation": report.incarnation}
             log.info("report of a former life", extra=fields)
             return
@@ -247,20 +247,20 @@
         could never be started elsewhere. An owner also stops renewing once its own lease has been
         expired for too long.
         """
-        if not self._link.has_clock_reading or self._executor.silent_since is not None:
+        if not self._link.has_clock_reading or self._executor.unresponsive_since is not None:
             return None
         if not self._link.may_extend_lease():
             return None
-        if self._link.term.lapsed_for(now) > HOLDING_AFTER_LAPSE:
+        if self._link.term.lapsed_for(now) > RENEWAL_AFTER_LAPSE:
             return None
         return self._link.extend_lease(now)
 
     def _record_contact(self) -> None:
-        if self._executor.silent_since is not None:
-            unresponsive_for = round(clock.read() - self._executor.silent_since, 3)
+        if self._executor.unresponsive_since is not None:
+            unresponsive_for = round(clock.read() - self._executor.unresponsive_since, 3)
             fields = {"dependency": self._executor.name, "silent": unresponsive_for}
             log.warning("dependency regained", extra=fields)
-        self._executor.silent_since = None
+        self._executor.unresponsive_since = None
 
     def _record_failure(self, error: Exception) -> None:
         """Stop placing tasks on the executor for a while, and count none of its runs as available.
@@ -268,14 +268,14 @@
         Even a refused connection does not prove that the executor has terminated: on a broken
         network path, another host may refuse it while the executor keeps running.
         """
-        self._link.suspect()
-        self._executor.fall_silent()
+        self._link.block_placement()
+        self._executor.mark_unresponsive()
         if not self._executor.facts.address:
             return
-        if self._executor.silent_since is None:
+        if self._executor.unresponsive_since is None:
             now = clock.read()
-            self._executor.silent_since = now
-            lease_left = self._executor.lease_over - now
+            self._executor.unresponsive_since = now
+            lease_left = self._executor.lease_expires_at - now
             fields = {
                 "dependency": self._executor.name,
                 "reason": str(error),
--- a/vanillawell/coordination/executor_link.py
+++ b/vanillawell/coordination/executor_link.py
@@ -9,14 +9,14 @@
 import anyio
 
 from vanillawell import clock
-from vanillawell.coordination.leases import LEASE, LEASE_MARGIN, ExecutorClock
+from vanillawell.coordination.leases import LEASE_MARGIN, TASK_LEASE, ExecutorClock
 from vanillawell.protocol.executor_calls import Refused, Target
-from vanillawell.state.executors import SUSPICION
+from vanillawell.state.executors import UNREACHABLE_BLOCK_TIME
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from vanillawell.coordination.lease_keeper import LeaseKeeper
+    from vanillawell.coordination.lease_manager import LeaseManager
     from vanillawell.coordination.term import Term
     from vanillawell.protocol.executor_calls import ExecutorCalls, OrderRefusedError
     from vanillawell.state.executors import Executor
@@ -56,7 +56,7 @@
     calls: ExecutorCalls
     shard: Shard
     term: Term
-    leases: LeaseKeeper
+    leases: LeaseManager
     wake_owner: Callable[[], None]
     wall: Callable[[], float]
     max_lease: float
@@ -110,10 +110,10 @@
 
         From here on the owner assumes that the lease is in force, since the call may arrive.
         """
-        lease = min(LEASE, self.max_lease)
-        before = self.executor.lease_over
-        expiry = self.clock.surely_over(now, lease) + self.kill_grace + LEASE_MARGIN
-        self.executor.lease_over = max(before, expiry)
+        lease = min(TASK_LEASE, self.max_lease)
+        before = self.executor.lease_expires_at
+        expiry = self.clock.latest_lease_end(now, lease) + self.kill_grace + LEASE_MARGIN
+        self.executor.lease_expires_at = max(before, expiry)
         self._extensions += 1
         return LeaseExtension(self.clock.lease_end(now, lease), self._extensions, before)
 
@@ -124,17 +124,17 @@
         refuses, even after their leases have expired.
         """
         if extension is not None and extension.number == self._extensions:
-            self.executor.lease_over = extension.previous_expiry
+            self.executor.lease_expires_at = extension.previous_expiry
 
     def record_answer(self, incarnation: int, reading: float, sent: float, now: float) -> None:
         """Record the answer to a call sent to one incarnation at `sent`, and its clock reading."""
         if incarnation == self._clock_incarnation:
-            self.clock.note(reading, sent, now)
+            self.clock.add_reading(reading, sent, now)
         self.answered_at = now
 
-    def suspect(self) -> None:
+    def block_placement(self) -> None:
         """Place no new tasks on the executor for a while."""
-        self.executor.suspect(clock.read() + SUSPICION)
+        self.executor.block_placement(clock.read() + UNREACHABLE_BLOCK_TIME)
 
     def block_if_unresponsive(self, sent: float) -> None:
         """Place no new tasks on the executor for a while if it has answered no call since `sent`.
@@ -144,13 +144,13 @@
         one in fifteen orders unanswered, nine of 21 executors got no tasks at any time.
         """
         if self.answered_at < sent:
-            self.suspect()
+            self.block_placement()
 
     def handle_refusal(self, error: OrderRefusedError) -> None:
         """Handle a refused hold call; raise DeposedError if another entry owns the shard."""
         if error.reason is Refused.FENCE:
             raise DeposedError(self.executor.name) from error
-        self.suspect()
+        self.block_placement()
         fields = {"executor": self.executor.name, "reason": error.reason.value}
         log.warning("hold call refused", extra=fields)
 
@@ -163,7 +163,7 @@
         is_present = target.incarnation == self.executor.facts.incarnation
         fields = {"executor": target.executor, "reason": reason, "is_present": is_present}
         log.warning("executor gone", extra={**fields, "runs": len(self.executor.runs)})
-        self.shard.dead(target.executor, target.incarnation, clock.read(), self.wall())
+        self.shard.mark_terminated(target.executor, target.incarnation, clock.read(), self.wall())
         self.wake_owner()
 
     def describe(self, run: Run) -> dict[str, object]:
--- a/vanillawell/coordination/hand_over.py
+++ b/vanillawell/coordination/hand_over.py
@@ -14,7 +14,7 @@
     from collections.abc import Iterable, Mapping
 
     from vanillawell.coordination.executor_driver import ExecutorDriver
-    from vanillawell.coordination.lease_keeper import LeaseKeeper
+    from vanillawell.coordination.lease_manager import LeaseManager
     from vanillawell.coordination.term import Term
     from vanillawell.protocol.store import Put
     from vanillawell.state.executors import Executor
@@ -30,7 +30,7 @@
 
     Returns the executors that did not answer, which may have fallen silent just before.
     """
-    sound = [item for item in drivers if item.executor.runs and not item.executor.is_out_of_touch]
+    sound = [item for item in drivers if item.executor.runs and not item.executor.is_unconfirmed]
     unanswered = {driver.executor.name for driver in sound}
 
     async def renew(driver: ExecutorDriver) -> None:
@@ -46,7 +46,7 @@
 
 async def store_last_bounds(
     term: Term,
-    leases: LeaseKeeper,
+    leases: LeaseManager,
     executors: Mapping[str, Executor],
     until: float,
     unanswered: frozenset[str] = frozenset(),
--- a/vanillawell/coordination/loss_detector.py
+++ b/vanillawell/coordination/loss_detector.py
@@ -11,8 +11,8 @@
 from vanillawell import clock
 from vanillawell.protocol.calls import NoAnswerError, NotSentError
 from vanillawell.protocol.machine_calls import MachineState
-from vanillawell.state.losses import in_doubt, losses
-from vanillawell.state.upkeep import life_of
+from vanillawell.state.lost_executors import find_lost_executors, unresponsive_executors
+from vanillawell.state.upkeep import incarnation_id
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -51,7 +51,7 @@
     async def run(self) -> None:
         """Check until cancelled."""
         while True:
-            if in_doubt(self._shard.ledger.executors.values(), clock.read()):
+            if unresponsive_executors(self._shard.ledger.executors.values(), clock.read()):
                 await self._check()
                 await anyio.sleep(RECHECK_DELAY if self._missing else LIST_INTERVAL)
             else:
@@ -59,7 +59,7 @@
                 await anyio.sleep(POLL_INTERVAL)
 
     async def _check(self) -> None:
-        asked = clock.read()
+        requested_at = clock.read()
         try:
             machines = await self._machines.list_machines()
         except (NotSentError, NoAnswerError) as error:
@@ -72,20 +72,24 @@
             item.name: (item.executor or "") if item.state is MachineState.UP else ""
             for item in machines
         }
-        result = losses(list(self._shard.ledger.executors.values()), listed_executors, asked)
-        missing_twice = [item for item in result.missing if life_of(item) in self._missing]
-        self._missing = {life_of(item) for item in result.missing if item not in missing_twice}
-        for executor in result.ended:
-            self._record_termination(executor, "another state of its machine", asked)
+        result = find_lost_executors(
+            list(self._shard.ledger.executors.values()), listed_executors, requested_at
+        )
+        missing_twice = [item for item in result.missing if incarnation_id(item) in self._missing]
+        self._missing = {
+            incarnation_id(item) for item in result.missing if item not in missing_twice
+        }
+        for executor in result.terminated:
+            self._record_termination(executor, "another state of its machine", requested_at)
         for executor in missing_twice:
-            self._record_termination(executor, "on no machine, twice", asked)
+            self._record_termination(executor, "on no machine, twice", requested_at)
 
-    def _record_termination(self, executor: Executor, reason: str, asked: float) -> None:
+    def _record_termination(self, executor: Executor, reason: str, requested_at: float) -> None:
         now = clock.read()
         fields = {"executor": executor.name, "machine": executor.facts.machine, "reason": reason}
-        figures = {"runs": len(executor.runs), "age": round(now - asked, 3)}
+        figures = {"runs": len(executor.runs), "age": round(now - requested_at, 3)}
         log.warning("executor has ended", extra={**fields, **figures})
-        self._shard.dead(executor.name, executor.facts.incarnation, now, time.time())
+        self._shard.mark_terminated(executor.name, executor.facts.incarnation, now, time.time())
         self._wake()
 
 
@@ -102,6 +106,6 @@
         if executor.contacted or not executor.runs:
             continue
         fields = {"executor": executor.name, "token": token, "registered": executor.registered}
-        lease_left = round(max(0.0, executor.lease_over - now), 3)
+        lease_left = round(max(0.0, executor.lease_expires_at - now), 3)
         figures = {"runs": len(executor.runs), "lease_left": lease_left}
         log.warning("executor not reached", extra={**fields, **figures})
--- a/vanillawell/coordination/machine_orders.py
+++ b/vanillawell/coordination/machine_orders.py
@@ -21,7 +21,7 @@
 import orjson
 
 from vanillawell import clock
-from vanillawell.coordination.leases import REFERENCE_CLOCKS, surely_passed
+from vanillawell.coordination.leases import REFERENCE_CLOCKS, min_elapsed
 from vanillawell.exceptions import StoreError
 from vanillawell.protocol.machine_calls import MachineDuty
 from vanillawell.protocol.store import Put
@@ -189,7 +189,7 @@
 
     def _time_since_inherited(self, now: float) -> float:
         """Return the seconds that have certainly passed since the previous owner's announcement."""
-        passed = surely_passed(self._inherited_clocks, self._clocks.at_least(now))
+        passed = min_elapsed(self._inherited_clocks, self._clocks.lower_bound(now))
         return max(now - self._started_at, passed)
 
     def is_fresh(self, now: float) -> bool:
@@ -212,7 +212,7 @@
         ages = {name: now - ordered_at for name, ordered_at in self._recent_orders.items()}
         self._pools.update(machines)
         pools = {**self._inherited_pools, **self._pools}
-        clocks = dict(itertools.islice(self._clocks.at_most(now).items(), REFERENCE_CLOCKS))
+        clocks = dict(itertools.islice(self._clocks.upper_bound(now).items(), REFERENCE_CLOCKS))
         inherited = self._inherited_ages(now)
         document = {
             "machines": {**inherited, **ages},
--- a/vanillawell/coordination/pool_rebalancer.py
+++ b/vanillawell/coordination/pool_rebalancer.py
@@ -180,7 +180,7 @@
         unusable.
         """
         zones = {executor.facts.zone for executor in executors.values()}
-        reachable_zones = {item.facts.zone for item in executors.values() if item.is_sound(now)}
+        reachable_zones = {item.facts.zone for item in executors.values() if item.is_healthy(now)}
         spare = [
             item
             for item in self._machines.values()
@@ -286,13 +286,13 @@
         """Record that a machine has changed its pool, which terminates the executor on it at
         once."""
         facts = executor.facts
-        self._shard.dead(facts.executor, facts.incarnation, clock.read(), time.time())
+        self._shard.mark_terminated(facts.executor, facts.incarnation, clock.read(), time.time())
 
     def _idle_machines(self, executors: dict[str, Executor], now: float) -> dict[str, list[str]]:
         """Return the machines that could leave their pool now, by pool."""
         idle: defaultdict[str, list[str]] = defaultdict(list)
         for name, executor in executors.items():
-            if executor.runs or executor.unsaved_ends or not executor.takes_work(now):
+            if executor.runs or executor.unsaved_ends or not executor.accepts_tasks(now):
                 continue
             if self._orders.may_order(name, now) and not self._orders.is_claimed(name):
                 idle[executor.facts.service].append(name)
--- a/vanillawell/coordination/run_orders.py
+++ b/vanillawell/coordination/run_orders.py
@@ -26,7 +26,7 @@
 
     from vanillawell.coordination.executor_link import ExecutorLink
     from vanillawell.protocol.executor_calls import Target
-    from vanillawell.state.outbox import StrayStop
+    from vanillawell.state.outbox import OrphanedRun
     from vanillawell.state.work import Run, TaskId
 
 log = logging.getLogger(__name__)
@@ -82,12 +82,12 @@
         async with self._slots:
             now = clock.read()
             stale = now - stored_at > MAX_START_AGE and not self._link.term.is_held(now)
-            if run.stop_wanted or stale or not self._link.has_clock_reading:
+            if run.stop_requested or stale or not self._link.has_clock_reading:
                 self._never_began(
                     run,
                     (
                         "stop requested before start"
-                        if run.stop_wanted
+                        if run.stop_requested
                         else "decision too old or executor clock unknown"
                     ),
                 )
@@ -109,14 +109,14 @@
             task.checkpoint,
             run.ticket,
         )
-        run.enter(RunPhase.ORDERED, now)
+        run.enter_phase(RunPhase.ORDERED, now)
         self._notify()
         target = self._link.target()
         try:
             value = await self._link.calls.start(target, order, self._link.term.token)
         except NotSentError as error:
             self._link.revert_extension(extension)
-            self._link.suspect()
+            self._link.block_placement()
             self._never_began(run, str(error))
         except NoAnswerError as error:
             self._link.block_if_unresponsive(now)
@@ -135,7 +135,7 @@
         now = clock.read()
         self._link.record_answer(target.incarnation, value, sent, now)
         if run.phase is RunPhase.ORDERED:
-            run.enter(RunPhase.RUNNING, now)
+            run.enter_phase(RunPhase.RUNNING, now)
         if run.started is None:
             run.started = now
         log.debug("run start confirmed", extra=self._link.describe(run))
@@ -154,7 +154,7 @@
             key = (task_id.job_id, task_id.occurrence, task_id.step)
             self._link.shard.tickets.pop(key, None)
         else:
-            self._link.suspect()
+            self._link.block_placement()
         self._never_began(run, error.reason.value)
 
     async def _resolve_uncertain(self, run: Run, reason: str) -> None:
@@ -162,13 +162,13 @@
         never is."""
         if run.phase is not RunPhase.ORDERED:
             return
-        run.enter(RunPhase.UNCERTAIN, clock.read())
+        run.enter_phase(RunPhase.UNCERTAIN, clock.read())
         log.warning("start unanswered", extra={**self._link.describe(run), "reason": reason})
         await self._refresh_report()
 
     def _never_began(self, run: Run, reason: str) -> None:
         log.info("run never began", extra={**self._link.describe(run), "reason": reason})
-        self._link.shard.never_began(run, clock.read(), self._link.wall())
+        self._link.shard.mark_not_started(run, clock.read(), self._link.wall())
 
     def stop(self, run: Run) -> None:
         """Stop a run, retrying until the executor has confirmed the stop or the run has ended."""
@@ -205,11 +205,11 @@
                 return
             await anyio.sleep(RETRY_DELAY)
 
-    def stop_stray(self, orphan: StrayStop) -> None:
+    def stop_orphan(self, orphan: OrphanedRun) -> None:
         """Stop a run that no task refers to."""
-        self._tasks.start_soon(self._stop_stray, orphan)
+        self._tasks.start_soon(self._stop_orphan, orphan)
 
-    async def _stop_stray(self, orphan: StrayStop) -> None:
+    async def _stop_orphan(self, orphan: OrphanedRun) -> None:
         fields = {"job": orphan.task_id.job_id, "task": orphan.task_id[1:], "run": orphan.run}
         log.warning("stray run", extra={**fields, "executor": orphan.executor})
         await self._stop_once(orphan.task_id, orphan.run)
--- a/vanillawell/coordination/shard_owner.py
+++ b/vanillawell/coordination/shard_owner.py
@@ -18,16 +18,16 @@
 from vanillawell.coordination.driver_clocks import DriverClocks
 from vanillawell.coordination.executor_driver import ExecutorDriver
 from vanillawell.coordination.executor_link import ExecutorLink
-from vanillawell.coordination.follow import Backoff
-from vanillawell.coordination.former_orders import FormerOrders
 from vanillawell.coordination.hand_over import renew_once, store_last_bounds
 from vanillawell.coordination.inbox import Inbox
-from vanillawell.coordination.lease_keeper import LeaseKeeper
+from vanillawell.coordination.inherited_orders import InheritedOrders
+from vanillawell.coordination.lease_manager import LeaseManager
 from vanillawell.coordination.leases import longest_doubt
 from vanillawell.coordination.loss_detector import LossDetector, log_unreached_executors
 from vanillawell.coordination.machine_orders import MachineOrders
 from vanillawell.coordination.pool_rebalancer import PoolRebalancer
-from vanillawell.coordination.registry import RegistryFollower
+from vanillawell.coordination.prefix_watch import Backoff
+from vanillawell.coordination.registry import RegistryWatch
 from vanillawell.coordination.stop_sender import StopSender
 from vanillawell.coordination.upkeep_runner import UpkeepRunner
 from vanillawell.exceptions import StoreError
@@ -42,7 +42,7 @@
     from anyio.abc import TaskGroup
 
     from vanillawell.config.node_settings import NodeSettings
-    from vanillawell.coordination.policy_follower import PolicyFollower
+    from vanillawell.coordination.policy_watch import PolicyWatch
     from vanillawell.coordination.ports import Ports
     from vanillawell.coordination.term import Term
     from vanillawell.protocol.store import Listing
@@ -71,7 +71,7 @@
         ports: Ports,
         keys: WorkKeys,
         settings: NodeSettings,
-        policies: PolicyFollower,
+        policies: PolicyWatch,
         telemetry: WorkTelemetry,
     ) -> None:
         self._name = name
@@ -86,7 +86,7 @@
         self._drivers: dict[str, ExecutorDriver] = {}
         self._clocks = DriverClocks(self._drivers)
         self._stops = StopSender(self._shard, term, self._drivers)
-        self._leases = LeaseKeeper(
+        self._leases = LeaseManager(
             keys.lease_bounds(name),
             term.token,
             term.former_bounds,
@@ -98,7 +98,7 @@
         self._published: dict[str, int] | None = None
         self._stored_queues: dict[str, Queue] = {}
         self._inbox = Inbox(ports.store, keys, self._shard, self.wake)
-        self._former_orders = FormerOrders(self._shard, self.wake)
+        self._former_orders = InheritedOrders(self._shard, self.wake)
         self.loaded = False
         """Whether all jobs of former terms have been read."""
 
@@ -156,7 +156,7 @@
     def _start_tasks(self, tasks: TaskGroup) -> None:
         tasks.start_soon(log_unreached_executors, self._shard, self._term.token)
         tasks.start_soon(loop_lag.watch, "owner")
-        registry = RegistryFollower(
+        registry = RegistryWatch(
             self._ports, self._ports.documents.keys.executors, self._shard, self.wake
         )
         orders = MachineOrders(
@@ -215,7 +215,7 @@
                 log.warning("shard not loaded", extra={"why": str(error)})
                 await backoff.wait()
         self._restore(orders, records)
-        if self._shard.lacks_rules():
+        if self._shard.lacks_queue_rules():
             await self._recall_queues()
 
     async def _recall_queues(self) -> None:
@@ -237,7 +237,7 @@
             log.error("rules of queues unreadable", extra={"why": str(error)})
             return
         log.info("rules of queues recalled", extra={"queues": len(queues)})
-        self._shard.recall_queues(queues)
+        self._shard.restore_queue_rules(queues)
 
     def _restore(self, orders: Listing, records: Listing) -> None:
         now = clock.read()
@@ -256,7 +256,7 @@
             recalled += len(runs)
             bound = functools.partial(self._leases.recalled_bound, now=now)
             self._shard.restore(record, runs, bound)
-        jobs = len(self._shard.board.jobs)
+        jobs = len(self._shard.job_table.jobs)
         fields = {"shard": self._name, "token": self._term.token}
         log.info("shard loaded", extra={**fields, "jobs": jobs, "runs": recalled})
 
@@ -287,7 +287,7 @@
             decided = clock.read()
             await self._store_turn()
             self._log_if_slow(now, decided)
-            if not self._shard.board.changed and not self._news.is_set():
+            if not self._shard.job_table.changed and not self._news.is_set():
                 with anyio.move_on_after(self._pause()):
                     await self._news.wait()
             self._news = anyio.Event()
@@ -298,10 +298,10 @@
         if ended - began < SLOW_TURN:
             return
         figures = {"decided": round(decided - began, 3), "stored": round(ended - decided, 3)}
-        log.warning("turn slow", extra={**figures, "jobs": len(self._shard.board.jobs)})
+        log.warning("turn slow", extra={**figures, "jobs": len(self._shard.job_table.jobs)})
 
     def _pause(self) -> float:
-        due = self._shard.board.next_due()
+        due = self._shard.job_table.next_due()
         if due is None:
             return QUIET_TURN
         return min(QUIET_TURN, max(0.001, due - time.time()))
@@ -339,7 +339,7 @@
     async def _store_turn(self) -> None:
         """Store what changed, then let the starts and the confirmed ends of it go out."""
         batch = CycleBatch.collect(self._shard, self._keys, time.time())
-        pending = self._shard.board.pending() if self._inbox.is_read else self._published
+        pending = self._shard.job_table.pending() if self._inbox.is_read else self._published
         queues = self._shard.queues_in_use()
         due = not batch.is_empty or pending != self._published or queues != self._stored_queues
         executors = self._shard.ledger.executors.values()
@@ -362,7 +362,7 @@
     def _submit(self, run: Run, stored_at: float) -> None:
         driver = self._drivers.get(run.executor)
         if driver is None:
-            self._shard.never_began(run, clock.read(), time.time())
+            self._shard.mark_not_started(run, clock.read(), time.time())
         else:
             driver.orders.submit(run, stored_at)
 
--- a/vanillawell/coordination/stop_sender.py
+++ b/vanillawell/coordination/stop_sender.py
@@ -19,7 +19,7 @@
 
     from vanillawell.coordination.executor_driver import ExecutorDriver
     from vanillawell.coordination.term import Term
-    from vanillawell.state.outbox import StrayStop
+    from vanillawell.state.outbox import OrphanedRun
     from vanillawell.state.shard import Shard
     from vanillawell.state.work import Run
 
@@ -71,9 +71,9 @@
             else:
                 self._drivers[run.executor].orders.stop(run)
         self._log_waiting({name: reason for name, reason in waiting.items() if reason})
-        strays, outbox.stray_stops = outbox.stray_stops, []
-        for orphan in strays:
-            self._stop_stray(orphan)
+        orphans, outbox.orphan_stops = outbox.orphan_stops, []
+        for orphan in orphans:
+            self._stop_orphan(orphan)
 
     def _is_charged(self, run: Run) -> bool:
         executor = self._shard.ledger.executors.get(run.executor)
@@ -98,12 +98,12 @@
                 log.warning("stops wait", extra={"executor": name, "reason": reason})
         self._logged_reasons = waiting
 
-    def _stop_stray(self, orphan: StrayStop) -> None:
+    def _stop_orphan(self, orphan: OrphanedRun) -> None:
         """Stop a run that no task refers to; it is requested again by each report that lists the
         run."""
         driver = self._drivers.get(orphan.executor)
         if driver is not None:
-            driver.orders.stop_stray(orphan)
+            driver.orders.stop_orphan(orphan)
             return
         fields = {"job": orphan.task_id.job_id, "task": orphan.task_id[1:], "run": orphan.run}
         log.warning(
--- a/vanillawell/coordination/upkeep_orders.py
+++ b/vanillawell/coordination/upkeep_orders.py
@@ -12,8 +12,8 @@
 from vanillawell.coordination.machine_orders import ClaimPurpose
 from vanillawell.protocol.calls import NoAnswerError, NotSentError
 from vanillawell.protocol.machine_calls import UpkeepRefusal, UpkeepRefusedError
-from vanillawell.state.availability import expect_loss, may_lose_all
-from vanillawell.state.upkeep import UNKNOWN_LIFE, life_of
+from vanillawell.state.availability import mark_runs_away, may_interrupt_all
+from vanillawell.state.upkeep import UNKNOWN_INCARNATION, incarnation_id
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable, Iterable
@@ -66,12 +66,12 @@
     def reserve(self, machine: str) -> None:
         """Claim and cordon a machine whose upkeep was decided, until its order is answered."""
         self._orders.claim(machine, ClaimPurpose.UPKEEP)
-        self._shard.ledger.close_machine(machine)
+        self._shard.ledger.cordon_machine(machine)
 
     def _release(self, machine: str) -> None:
         """Uncordon a machine and release its claim, since its order was answered."""
         self._orders.release(machine, ClaimPurpose.UPKEEP)
-        self._shard.ledger.open_machine(machine)
+        self._shard.ledger.uncordon_machine(machine)
 
     async def begin(self, progress: WaveProgress, machines: Iterable[str]) -> None:
         """Decide on the upkeep of machines, store the decision, and order the upkeep of all of them
@@ -80,12 +80,12 @@
         if not names:
             return
         for name in names:
-            progress.decide(name, UNKNOWN_LIFE)
+            progress.decide(name, UNKNOWN_INCARNATION)
             self.reserve(name)
         await self._save(progress)
         executors = self._shard.ledger.by_machine()
         progress.away.update(
-            {name: life_of(executors[name]) for name in names if name in executors}
+            {name: incarnation_id(executors[name]) for name in names if name in executors}
         )
         await self._order(progress, names)
 
@@ -94,7 +94,7 @@
         begun."""
         due = [
             name
-            for name in progress.doubtful
+            for name in progress.unconfirmed
             if now > progress.ordered.get(name, 0.0) + REPEAT_DELAY
             and self._orders.may_order(name, now)
         ]
@@ -122,7 +122,7 @@
         if not self._orders.is_fresh(now):
             log.info("upkeep order postponed: announcement took too long", extra=fields)
             return
-        if executor is not None and not may_lose_all(executor):
+        if executor is not None and not may_interrupt_all(executor):
             log.warning(
                 "upkeep order postponed: long-running tasks must keep running",
                 extra={**fields, "on": executor.name},
@@ -130,7 +130,7 @@
             progress.closed.setdefault(name, now)
             return
         if executor is not None:
-            expect_loss(executor)
+            mark_runs_away(executor)
         try:
             await self._machines.begin_upkeep(name, progress.wave.number, self._orders.duty)
         except UpkeepRefusedError as error:
@@ -145,9 +145,11 @@
     def _record_begun(self, progress: WaveProgress, name: str, executor: Executor | None) -> None:
         progress.confirmed.add(name)
         progress.closed.pop(name, None)
-        if executor is not None and progress.away.get(name) == life_of(executor):
+        if executor is not None and progress.away.get(name) == incarnation_id(executor):
             facts = executor.facts
-            self._shard.dead(facts.executor, facts.incarnation, clock.read(), time.time())
+            self._shard.mark_terminated(
+                facts.executor, facts.incarnation, clock.read(), time.time()
+            )
         self._release(name)
         self._wake()
 
--- a/vanillawell/coordination/upkeep_runner.py
+++ b/vanillawell/coordination/upkeep_runner.py
@@ -15,17 +15,17 @@
 from vanillawell.protocol.calls import NoAnswerError, NotSentError
 from vanillawell.protocol.machine_calls import MachineState
 from vanillawell.protocol.store import Put
-from vanillawell.state.availability import has_lasting
+from vanillawell.state.availability import has_long_running
 from vanillawell.state.upkeep import (
-    PATIENCE,
-    UNKNOWN_LIFE,
-    USUAL_UPKEEP,
+    MIN_UPKEEP_DURATION,
+    SHORT_TASK_TIMEOUT,
+    UNKNOWN_INCARNATION,
     Wave,
     WaveProgress,
-    is_empty_enough,
-    life_of,
-    to_close,
-    to_stop,
+    incarnation_id,
+    machines_to_close,
+    may_begin_upkeep,
+    runs_to_move,
 )
 
 if TYPE_CHECKING:
@@ -34,7 +34,7 @@
     from vanillawell.config.node_settings import NodeSettings
     from vanillawell.coordination.leases import ExecutorClocks
     from vanillawell.coordination.machine_orders import MachineOrders
-    from vanillawell.coordination.policy_follower import PolicyFollower
+    from vanillawell.coordination.policy_watch import PolicyWatch
     from vanillawell.coordination.ports import Ports
     from vanillawell.coordination.term import Term
     from vanillawell.protocol.machine_calls import Machine
@@ -69,7 +69,7 @@
         ports: Ports,
         keys: WorkKeys,
         settings: NodeSettings,
-        policies: PolicyFollower,
+        policies: PolicyWatch,
         orders: MachineOrders,
         wake: Callable[[], None],
         clocks: ExecutorClocks,
@@ -105,7 +105,7 @@
     def expects(self, now: float) -> bool:
         """Return whether a machine may return from its upkeep at any moment."""
         return any(
-            now > progress.ordered.get(name, now) + USUAL_UPKEEP
+            now > progress.ordered.get(name, now) + MIN_UPKEEP_DURATION
             for progress in self._waves.values()
             for name in progress.away
         )
@@ -122,7 +122,9 @@
         for progress in active:
             self._count_elapsed_time(progress)
             await self._advance(progress)
-            if not self._ages[progress.wave.number].clocks and self._clocks.at_most(clock.read()):
+            if not self._ages[progress.wave.number].clocks and self._clocks.upper_bound(
+                clock.read()
+            ):
                 await self._save(progress)  # so that a successor can tell how long ago this was
         return True
 
@@ -130,16 +132,18 @@
         """Count the time that has certainly passed for a wave under previous owners and between
         them."""
         now, number = clock.read(), progress.wave.number
-        seen = self._ages[number].estimate_first_seen(self._clocks, now)
-        if seen >= progress.seen:
+        first_seen = self._ages[number].estimate_first_seen(self._clocks, now)
+        if first_seen >= progress.first_seen:
             return
-        progress.seen = seen
-        log.info("wave known for longer", extra={"wave": number, "seconds": round(now - seen, 3)})
+        progress.first_seen = first_seen
+        log.info(
+            "wave known for longer", extra={"wave": number, "seconds": round(now - first_seen, 3)}
+        )
 
     async def _load_wave(self, wave: Wave) -> WaveProgress:
         """Load the progress that a wave made under previous owners."""
         stored = await self._ports.store.get(self._keys.wave(wave.number))
-        progress = WaveProgress(wave, self._policies.waves_seen[wave.number])
+        progress = WaveProgress(wave, self._policies.waves_first_seen[wave.number])
         self._ages[wave.number] = WaveAge()
         if stored is None:
             await self._save(progress)
@@ -155,22 +159,22 @@
             # it had been.
             fields = {"wave": wave.number, "why": repr(error)}
             log.error("stored wave progress unreadable", extra=fields)
-            progress = WaveProgress(wave, self._policies.waves_seen[wave.number])
+            progress = WaveProgress(wave, self._policies.waves_first_seen[wave.number])
         self._listed_at = 0.0
         await self._refresh_list()
         progress.away = {
-            name: UNKNOWN_LIFE
+            name: UNKNOWN_INCARNATION
             for name in wave.machines
-            if name in progress.doubtful
+            if name in progress.unconfirmed
             or (name in self._machines and self._machines[name].state is MachineState.UPKEEP)
         }
-        for name in progress.doubtful:
+        for name in progress.unconfirmed:
             self._upkeep_orders.reserve(name)
         return progress
 
     async def _save(self, progress: WaveProgress) -> None:
         number, now = progress.wave.number, clock.read()
-        age = self._ages[number].updated(progress.seen, self._clocks, now)
+        age = self._ages[number].updated(progress.first_seen, self._clocks, now)
         document = {
             **age.to_document(),
             "decided": sorted(progress.decided),
@@ -197,15 +201,15 @@
         now = clock.read()
         executors = self._shard.ledger.by_machine()
         up = {item.name for item in self._machines.values() if item.state is MachineState.UP}
-        incarnations = {name: life_of(item) for name, item in executors.items()}
-        progress.returned(
+        incarnations = {name: incarnation_id(item) for name, item in executors.items()}
+        progress.release_returned(
             incarnations, up | (progress.away.keys() - self._machines.keys()), self._listed_at
         )
         for name in progress.wave.machines:
             if name in executors:
                 executors[name].awaits_upkeep = name not in progress.decided
         free = {name: item for name, item in executors.items() if self._may_decide(name, now)}
-        for name in to_close(progress, free, now):
+        for name in machines_to_close(progress, free, now):
             progress.closed[name] = now
             fields = {"wave": progress.wave.number, "machine": name}
             log.info("machine closed", extra={**fields, "runs": len(executors[name].runs)})
@@ -232,10 +236,10 @@
                 del progress.closed[name]
                 continue
             executor.cordoned = True
-            if now < self._settled_at and has_lasting(executor):
+            if now < self._settled_at and has_long_running(executor):
                 continue
             self._move_away(progress, executor, closed_at, now)
-            may_begin = is_empty_enough(executor, closed_at, progress.hurried(now), now)
+            may_begin = may_begin_upkeep(executor, closed_at, progress.past_wait_deadline(now), now)
             if may_begin and self._may_decide(name, now):
                 drained.append(name)
         return drained
@@ -243,10 +247,12 @@
     def _move_away(
         self, progress: WaveProgress, executor: Executor, closed_at: float, now: float
     ) -> None:
-        forced = progress.hurried(now) or now > closed_at + PATIENCE
-        runs = to_stop(executor, lambda run: forced or self._shard.has_place(run, now))
+        forced = progress.past_wait_deadline(now) or now > closed_at + SHORT_TASK_TIMEOUT
+        runs = runs_to_move(
+            executor, lambda run: forced or self._shard.can_place_elsewhere(run, now)
+        )
         for run in runs:
-            self._shard.want_stop(run)
+            self._shard.request_stop(run)
         if runs:
             self._wake()
 
--- a/vanillawell/tests/advice_requester_tests.py
+++ b/vanillawell/tests/advice_requester_tests.py
@@ -8,12 +8,12 @@
 
 from vanillawell import clock
 from vanillawell.coordination.advice_requester import AdviceRequester
-from vanillawell.state.upkeep import PATIENCE
+from vanillawell.state.upkeep import SHORT_TASK_TIMEOUT
 from vanillawell.state.work_policy import AdviceRule, Queue, Service
 from vanillawell.tests.scheduler_cluster import HINTED_PREFIX, Cluster, until, with_cluster
 from vanillawell.tests.scheduler_cluster import job as body_of_job
 from vanillawell.tests.scheduler_cluster import step as step_in_body
-from vanillawell.tests.scheduling_builders import POOL, QUEUE, Bench, facts, job, step
+from vanillawell.tests.scheduling_builders import POOL, QUEUE, ShardHarness, facts, job, step
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -41,37 +41,37 @@
         return dict.fromkeys(executors, "ticket")
 
 
-def _make_harness(*names: str) -> Bench:
+def _make_harness(*names: str) -> ShardHarness:
     """Return a shard on the running clock whose queue requires advice."""
     queues = {
         QUEUE: Queue(QUEUE, "h", "/q/", POOL, 0, 3, 1.6, 0.6, False, RULE),
         "other": Queue("other", "h", "/o/", "elsewhere", 0, 3, 1.6, 0.6, False, RULE),
     }
     services = {name: Service(name, False, False) for name in (POOL, "elsewhere")}
-    bench = Bench(queues=queues, services=services)
-    bench.now = clock.read()
+    harness = ShardHarness(queues=queues, services=services)
+    harness.now = clock.read()
     for name in names:
-        bench.register(facts(name))
-    return bench
+        harness.register(facts(name))
+    return harness
 
 
-def _place_long_running(bench: Bench) -> tuple[Job, Run]:
+def _place_long_running(harness: ShardHarness) -> tuple[Job, Run]:
     """Place a long-running task whose tickets expire afterwards."""
     item = job(step(long_running=True))
-    bench.admit(item)
-    bench.shard.tickets[item.job_id, 0, 0] = {"i-0": "ticket"}
-    (run,) = bench.place()
-    bench.shard.tickets.clear()
+    harness.admit(item)
+    harness.shard.tickets[item.job_id, 0, 0] = {"i-0": "ticket"}
+    (run,) = harness.place()
+    harness.shard.tickets.clear()
     return item, run
 
 
-def _collect_requests(bench: Bench) -> list[tuple[str, list[str]]]:
+def _collect_requests(harness: ShardHarness) -> list[tuple[str, list[str]]]:
     """Run the requester for a moment; return its requests."""
     advice = RecordingAdvice()
 
     async def work() -> None:
         with anyio.move_on_after(0.1):
-            await AdviceRequester(bench.shard, advice, lambda: None).run()
+            await AdviceRequester(harness.shard, advice, lambda: None).run()
 
     anyio.run(work)
     return advice.requests
@@ -79,42 +79,42 @@
 
 def test_no_advice_is_requested_for_task_that_stays() -> None:
     """Each request takes the service's time, and tickets expire."""
-    bench = _make_harness("i-0")
-    _place_long_running(bench)
-    assert _collect_requests(bench) == []
+    harness = _make_harness("i-0")
+    _place_long_running(harness)
+    assert _collect_requests(harness) == []
 
 
 def test_advice_is_requested_ahead_for_long_running_task_on_departing_executor() -> None:
     """No task waits yet. If advice were requested only once the task is stopped, it would not be
     known that another executor may run it."""
-    bench = _make_harness("i-0")
-    item, run = _place_long_running(bench)
-    bench.register(facts("i-1"))
-    bench.register(facts("i-0", draining=True, remaining=4.0))
-    assert not bench.shard.has_place(run, bench.now)
-    assert _collect_requests(bench) == [(item.job_id, ["i-1"])]
-    assert bench.shard.has_place(run, bench.now)
+    harness = _make_harness("i-0")
+    item, run = _place_long_running(harness)
+    harness.register(facts("i-1"))
+    harness.register(facts("i-0", draining=True, remaining=4.0))
+    assert not harness.shard.can_place_elsewhere(run, harness.now)
+    assert _collect_requests(harness) == [(item.job_id, ["i-1"])]
+    assert harness.shard.can_place_elsewhere(run, harness.now)
 
 
 def test_advice_is_requested_ahead_for_long_running_task_on_cordoned_machine() -> None:
-    bench = _make_harness("i-0")
-    item, _ = _place_long_running(bench)
-    bench.register(facts("i-1"))
-    bench.shard.ledger.close_machine("m-i-0")
-    assert _collect_requests(bench) == [(item.job_id, ["i-1"])]
+    harness = _make_harness("i-0")
+    item, _ = _place_long_running(harness)
+    harness.register(facts("i-1"))
+    harness.shard.ledger.cordon_machine("m-i-0")
+    assert _collect_requests(harness) == [(item.job_id, ["i-1"])]
 
 
 def test_step_without_usable_executor_does_not_block_other_steps() -> None:
     """The only executor of a pool is leaving. Its overdue long-running task would come first in
     each check, and no step of another pool would get tickets."""
-    bench = _make_harness("i-0")
-    _place_long_running(bench)
-    bench.register(facts("i-0", draining=True, remaining=4.0))
-    bench.register(facts("e-0", service="elsewhere"))
-    bench.now += 60.0
+    harness = _make_harness("i-0")
+    _place_long_running(harness)
+    harness.register(facts("i-0", draining=True, remaining=4.0))
+    harness.register(facts("e-0", service="elsewhere"))
+    harness.now += 60.0
     other = job(queue="other")
-    bench.admit(other)
-    assert _collect_requests(bench) == [(other.job_id, ["e-0"])]
+    harness.admit(other)
+    assert _collect_requests(harness) == [(other.job_id, ["e-0"])]
 
 
 async def _start_long_running(built: Cluster, **fields: Any) -> None:
@@ -122,9 +122,9 @@
     expired."""
     long_running = body_of_job(step_in_body(longRunning=True, **fields), spec={"seconds": 99})
     await built.members[0].call("POST", HINTED_PREFIX + built.new_id(), long_running)
-    await until(lambda: bool(built.hosts["i-0"].life.running))
+    await until(lambda: bool(built.hosts["i-0"].executor.running))
     await built.add_executor("i-1")
-    await until(lambda: built.hosts["i-1"].life.holds > 0)
+    await until(lambda: built.hosts["i-1"].executor.holds > 0)
     await anyio.sleep(RULE.validity)
 
 
@@ -135,7 +135,7 @@
     have no time to start elsewhere."""
     await _start_long_running(built, maxUnavailable=1)
     built.drain("i-0", DEPARTURE_NOTICE)
-    await until(lambda: bool(built.hosts["i-1"].life.running), MOVE_TIMEOUT)
+    await until(lambda: bool(built.hosts["i-1"].executor.running), MOVE_TIMEOUT)
     built.leave("i-0")
 
 
@@ -149,7 +149,7 @@
     await _start_long_running(built)
     built.drain("i-0", DEPARTURE_NOTICE)
     await anyio.sleep(MOVE_TIMEOUT)
-    assert built.hosts["i-0"].life.running
+    assert built.hosts["i-0"].executor.running
     built.leave("i-0")
 
 
@@ -162,5 +162,5 @@
     machine = built.machines.machines[built.hosts["i-0"].machine]
     wave = {"wave": 1, "machines": [machine.name], "durationS": 60, "maximum": 1}
     built.store.put_document("op/wave/1", wave)
-    await until(lambda: bool(built.hosts["i-1"].life.running), PATIENCE / 2)
-    await until(lambda: machine.upkeeps == 1, PATIENCE / 2)
+    await until(lambda: bool(built.hosts["i-1"].executor.running), SHORT_TASK_TIMEOUT / 2)
+    await until(lambda: machine.upkeeps == 1, SHORT_TASK_TIMEOUT / 2)
--- a/vanillawell/tests/executor_link_tests.py
+++ b/vanillawell/tests/executor_link_tests.py
@@ -7,7 +7,7 @@
 import pytest
 
 from vanillawell.coordination.executor_link import ExecutorLink
-from vanillawell.tests.scheduling_builders import Bench, facts
+from vanillawell.tests.scheduling_builders import ShardHarness, facts
 
 KILL_GRACE = 0.1
 """Seconds."""
@@ -16,27 +16,27 @@
 @pytest.fixture
 def link() -> ExecutorLink:
     """Return the link to an executor whose clock was read at 0."""
-    bench = Bench(facts("i-0"))
+    harness = ShardHarness(facts("i-0"))
     unused = cast("Any", None)
-    executor = bench.shard.ledger.executors["i-0"]
+    executor = harness.shard.ledger.executors["i-0"]
     made = ExecutorLink(
-        executor, unused, bench.shard, unused, unused, lambda: None, float, 6.0, KILL_GRACE
+        executor, unused, harness.shard, unused, unused, lambda: None, float, 6.0, KILL_GRACE
     )
     made.begin_incarnation(executor.facts.incarnation)
     made.record_answer(executor.facts.incarnation, 100.0, 0.0, 0.0)
-    executor.lease_over = 0.0
+    executor.lease_expires_at = 0.0
     return made
 
 
 def test_lease_is_reverted_after_call_without_effect(link: ExecutorLink) -> None:
     """Otherwise a task stays charged to an executor that refuses all calls."""
     first = link.extend_lease(0.0)
-    expiry = link.executor.lease_over
+    expiry = link.executor.lease_expires_at
     link.revert_extension(link.extend_lease(1.0))
-    assert link.executor.lease_over == expiry
+    assert link.executor.lease_expires_at == expiry
     link.revert_extension(first)
     # A later lease had been sent, so the longer bound stays.
-    assert link.executor.lease_over == expiry
+    assert link.executor.lease_expires_at == expiry
 
 
 def test_refusal_does_not_revert_lease_of_later_call(link: ExecutorLink) -> None:
@@ -47,6 +47,6 @@
     first = link.extend_lease(3.0)
     link.record_answer(link.executor.facts.incarnation, 103.0, 3.0, 3.0)
     link.extend_lease(3.0)
-    expiry = link.executor.lease_over
+    expiry = link.executor.lease_expires_at
     link.revert_extension(first)
-    assert link.executor.lease_over == expiry
+    assert link.executor.lease_expires_at == expiry
--- a/vanillawell/tests/executor_restart_tests.py
+++ b/vanillawell/tests/executor_restart_tests.py
@@ -8,7 +8,7 @@
 
 import anyio
 
-from vanillawell.coordination.leases import LEASE
+from vanillawell.coordination.leases import TASK_LEASE
 from vanillawell.tests.scheduler_cluster import (
     PREFIX,
     Cluster,
@@ -38,6 +38,6 @@
     await anyio.sleep(PREVIOUS_UPTIME)
     built.restart("i-0")
     built.register("i-0")
-    life = built.hosts["i-0"].life
-    await until(lambda: life.holds > 0)
-    assert life._lease_end / 1000 <= life.clock / 1000 + LEASE + CLOCK_TOLERANCE
+    executor = built.hosts["i-0"].executor
+    await until(lambda: executor.holds > 0)
+    assert executor._lease_end / 1000 <= executor.clock / 1000 + TASK_LEASE + CLOCK_TOLERANCE
--- a/vanillawell/tests/refused_holds_tests.py
+++ b/vanillawell/tests/refused_holds_tests.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from vanillawell.coordination.leases import LEASE
+from vanillawell.coordination.leases import TASK_LEASE
 from vanillawell.tests.scheduler_cluster import (
     PREFIX,
     Cluster,
@@ -27,7 +27,7 @@
     await owner.call("POST", PREFIX + job_id, body)
     task = f"{job_id}.0.0.0"
     await until(lambda: task in built.audit.started)
-    (life,) = [item for item in built.lives if task in item.running]
-    life.faults.unhealthy = True
-    await until(lambda: task not in life.running, LEASE + DETECTION_TIME)
+    (executor,) = [item for item in built.executors if task in item.running]
+    executor.faults.unhealthy = True
+    await until(lambda: task not in executor.running, TASK_LEASE + DETECTION_TIME)
     await until(lambda: built.audit.started[task] == 2, DETECTION_TIME)
--- a/vanillawell/tests/stop_sender_tests.py
+++ b/vanillawell/tests/stop_sender_tests.py
@@ -7,9 +7,9 @@
 from typing import TYPE_CHECKING, Any
 
 from vanillawell.coordination.stop_sender import StopSender
-from vanillawell.state.outbox import StrayStop
+from vanillawell.state.outbox import OrphanedRun
 from vanillawell.state.work import Ending
-from vanillawell.tests.scheduling_builders import Bench, facts, job, step
+from vanillawell.tests.scheduling_builders import ShardHarness, facts, job, step
 
 if TYPE_CHECKING:
     import pytest
@@ -23,13 +23,13 @@
     """Record the stops that are passed to a driver."""
 
     stopped: list[Run] = field(default_factory=list)
-    strays: list[StrayStop] = field(default_factory=list)
+    orphans: list[OrphanedRun] = field(default_factory=list)
 
     def stop(self, run: Run) -> None:
         self.stopped.append(run)
 
-    def stop_stray(self, orphan: StrayStop) -> None:
-        self.strays.append(orphan)
+    def stop_orphan(self, orphan: OrphanedRun) -> None:
+        self.orphans.append(orphan)
 
 
 @dataclass
@@ -54,28 +54,28 @@
     """A shard with one run, and the sender of its stops."""
 
     def __init__(self) -> None:
-        self.bench = Bench(facts("i-0"))
-        self.bench.admit(job(step(long_running=True)))
-        (self.run,) = self.bench.place()
+        self.harness = ShardHarness(facts("i-0"))
+        self.harness.admit(job(step(long_running=True)))
+        (self.run,) = self.harness.place()
         self.drivers: dict[str, RecordingDriver] = {}
         self.term = FixedTerm()
         fields: tuple[Any, ...] = (self.term, self.drivers)
-        self.sender = StopSender(self.bench.shard, *fields)
+        self.sender = StopSender(self.harness.shard, *fields)
 
     def add_driver(self) -> RecordingOrders:
         """Add the driver of the executor."""
-        driver = RecordingDriver(self.bench.shard.ledger.executors["i-0"])
+        driver = RecordingDriver(self.harness.shard.ledger.executors["i-0"])
         self.drivers["i-0"] = driver
         return driver.orders
 
     def send(self) -> None:
-        self.sender.send(self.bench.now)
+        self.sender.send(self.harness.now)
 
 
 def test_stop_is_sent_once() -> None:
     scenario = StopScenario()
     orders = scenario.add_driver()
-    scenario.bench.shard.want_stop(scenario.run)
+    scenario.harness.shard.request_stop(scenario.run)
     for _ in range(2):
         scenario.send()
     assert orders.stopped == [scenario.run]
@@ -86,7 +86,7 @@
     were dropped, it would never be requested again, and the run would go on for as long as its
     lease is renewed."""
     scenario = StopScenario()
-    scenario.bench.shard.want_stop(scenario.run)
+    scenario.harness.shard.request_stop(scenario.run)
     with caplog.at_level(logging.WARNING):
         for _ in range(3):
             scenario.send()
@@ -101,8 +101,8 @@
     scenario = StopScenario()
     previous_orders = scenario.add_driver()
     previous_driver = scenario.drivers["i-0"]
-    previous_driver.executor = Bench(facts("i-0")).shard.ledger.executors["i-0"]
-    scenario.bench.shard.want_stop(scenario.run)
+    previous_driver.executor = ShardHarness(facts("i-0")).shard.ledger.executors["i-0"]
+    scenario.harness.shard.request_stop(scenario.run)
     scenario.send()
     assert previous_orders.stopped == []
     orders = scenario.add_driver()
@@ -115,7 +115,7 @@
     scenario = StopScenario()
     orders = scenario.add_driver()
     scenario.term.held = False
-    scenario.bench.shard.want_stop(scenario.run)
+    scenario.harness.shard.request_stop(scenario.run)
     scenario.send()
     assert orders.stopped == []
     scenario.term.held = True
@@ -126,13 +126,13 @@
 def test_ended_run_is_not_stopped() -> None:
     """The end of the run was reported while the stop waited."""
     scenario = StopScenario()
-    scenario.bench.shard.want_stop(scenario.run)
+    scenario.harness.shard.request_stop(scenario.run)
     scenario.send()
-    scenario.bench.end(scenario.run, Ending.STOPPED)
+    scenario.harness.end(scenario.run, Ending.STOPPED)
     orders = scenario.add_driver()
     scenario.send()
     assert orders.stopped == []
-    assert scenario.bench.shard.outbox.stops == []
+    assert scenario.harness.shard.outbox.stops == []
 
 
 def test_orphaned_run_is_stopped_while_owner_lease_is_expired() -> None:
@@ -140,7 +140,7 @@
     scenario = StopScenario()
     orders = scenario.add_driver()
     scenario.term.held = False
-    orphan = StrayStop("i-0", scenario.run.task.task_id, 7)
-    scenario.bench.shard.outbox.stop_stray(orphan)
+    orphan = OrphanedRun("i-0", scenario.run.task.task_id, 7)
+    scenario.harness.shard.outbox.stop_orphan(orphan)
     scenario.send()
-    assert orders.strays == [orphan]
+    assert orders.orphans == [orphan]
--- a/vanillawell/tests/upkeep_runner_tests.py
+++ b/vanillawell/tests/upkeep_runner_tests.py
@@ -19,7 +19,7 @@
 
 def _executor_on(built: Cluster, machine: StandInMachine) -> StandInExecutor | None:
     host = built.hosts.get(machine.executor)
-    return host.life if host else None
+    return host.executor if host else None
 
 
 def _add_spares(built: Cluster) -> list[str]:
@@ -36,8 +36,8 @@
     interrupted: list[str] = []
 
     async def record_interrupted(machine: StandInMachine) -> None:
-        life = _executor_on(built, machine)
-        if machine.state == "upkeep" and life is not None and life.running:
+        executor = _executor_on(built, machine)
+        if machine.state == "upkeep" and executor is not None and executor.running:
             interrupted.append(machine.name)
 
     simulate_moves(built)
