--- a/vanillawell/coordination/run_orders.py
+++ b/vanillawell/coordination/run_orders.py
@@ -83,7 +83,7 @@
             now = clock.read()
             stale = now - stored_at > MAX_START_AGE and not self._link.term.is_held(now)
             if run.stop_requested or stale or not self._link.has_clock_reading:
-                self._never_began(
+                self._mark_not_started(
                     run,
                     (
                         "stop requested before start"
@@ -93,7 +93,7 @@
                 )
                 return
             if not self._link.may_extend_lease():
-                self._never_began(run, "lease extension not permitted")
+                self._mark_not_started(run, "lease extension not permitted")
                 return
             await self._send_start(run, now)
         self._notify()
@@ -117,21 +117,21 @@
         except NotSentError as error:
             self._link.revert_extension(extension)
             self._link.block_placement()
-            self._never_began(run, str(error))
+            self._mark_not_started(run, str(error))
         except NoAnswerError as error:
             self._link.block_if_unresponsive(now)
             await self._resolve_uncertain(run, str(error))
         except WrongIncarnationError:
             self._link.record_termination(target, "another executor answers at the address")
-            self._never_began(run, "addressed to a previous incarnation")
+            self._mark_not_started(run, "addressed to a previous incarnation")
         except OrderRefusedError as error:
             if error.reason is Refused.UNHEALTHY:
                 self._link.revert_extension(extension)
-            await self._start_refused(run, error)
+            await self._handle_start_refusal(run, error)
         else:
-            self._started(run, target, value, now)
+            self._record_start(run, target, value, now)
 
-    def _started(self, run: Run, target: Target, value: float, sent: float) -> None:
+    def _record_start(self, run: Run, target: Target, value: float, sent: float) -> None:
         now = clock.read()
         self._link.record_answer(target.incarnation, value, sent, now)
         if run.phase is RunPhase.ORDERED:
@@ -140,7 +140,7 @@
             run.started = now
         log.debug("run start confirmed", extra=self._link.describe(run))
 
-    async def _start_refused(self, run: Run, error: OrderRefusedError) -> None:
+    async def _handle_start_refusal(self, run: Run, error: OrderRefusedError) -> None:
         log.warning(
             "start refused", extra={**self._link.describe(run), "reason": error.reason.value}
         )
@@ -155,7 +155,7 @@
             self._link.shard.tickets.pop(key, None)
         else:
             self._link.block_placement()
-        self._never_began(run, error.reason.value)
+        self._mark_not_started(run, error.reason.value)
 
     async def _resolve_uncertain(self, run: Run, reason: str) -> None:
         """Find out whether an unanswered start order was carried out; if not, make sure that it
@@ -166,7 +166,7 @@
         log.warning("start unanswered", extra={**self._link.describe(run), "reason": reason})
         await self._refresh_report()
 
-    def _never_began(self, run: Run, reason: str) -> None:
+    def _mark_not_started(self, run: Run, reason: str) -> None:
         log.info("run never began", extra={**self._link.describe(run), "reason": reason})
         self._link.shard.mark_not_started(run, clock.read(), self._link.wall())
 
--- a/vanillawell/coordination/upkeep_orders.py
+++ b/vanillawell/coordination/upkeep_orders.py
@@ -120,7 +120,7 @@
         executor = self._shard.ledger.by_machine().get(name)
         fields = {"wave": progress.wave.number, "machine": name, "token": self._term.token}
         if not self._orders.is_fresh(now):
-            log.info("upkeep order postponed: announcement took too long", extra=fields)
+            log.info("upkeep order postponed: announcement too old", extra=fields)
             return
         if executor is not None and not may_interrupt_all(executor):
             log.warning(
--- a/vanillawell/tests/late_refusal_tests.py
+++ b/vanillawell/tests/late_refusal_tests.py
@@ -19,7 +19,7 @@
     previous address refuses the call."""
 
     def __init__(self, harness: ShardHarness) -> None:
-        self._bench = harness
+        self._harness = harness
 
     async def stop(self, *_: Any) -> float:
         return self._refuse()
@@ -28,8 +28,8 @@
         return self._refuse()
 
     def _refuse(self) -> float:
-        self._bench.now += 0.1
-        self._bench.register(facts("i-0", incarnation=2, address="127.0.0.1:2"))
+        self._harness.now += 0.1
+        self._harness.register(facts("i-0", incarnation=2, address="127.0.0.1:2"))
         raise WrongIncarnationError("i-0")
 
 
