--- a/vanillawell/commands/config.py
+++ b/vanillawell/commands/config.py
@@ -13,14 +13,14 @@
 from vanillawell.config.effective import effective_settings
 from vanillawell.config.loader import load_model
 from vanillawell.config.tree import OperatorTree
-from vanillawell.coordination.operator import compare_trees
+from vanillawell.coordination.configuration_editor import compare_trees
 from vanillawell.exceptions import RolloutTimeoutError, SettingsError
 
 if TYPE_CHECKING:
     from pathlib import Path
 
     from vanillawell.commands.context import CommandContext
-    from vanillawell.coordination.operator import Change
+    from vanillawell.coordination.configuration_editor import Change
 
 
 @dataclass(frozen=True, slots=True)
--- a/vanillawell/commands/context.py
+++ b/vanillawell/commands/context.py
@@ -12,7 +12,7 @@
 
 from vanillawell.commands.patient_store import PatientStore
 from vanillawell.config.settings import Address, ClientTls, StoreSettings
-from vanillawell.coordination.operator import ConfigurationEditor
+from vanillawell.coordination.configuration_editor import ConfigurationEditor
 from vanillawell.exceptions import SettingsError
 from vanillawell.identity import read_secret
 from vanillawell.protocol.documents import StoreKeys
--- a/vanillawell/coordination/admission_check.py
+++ b/vanillawell/coordination/admission_check.py
@@ -13,7 +13,7 @@
     import random
 
     from vanillawell.coordination.pool_runtime import PoolRuntime
-    from vanillawell.coordination.tickets import LimitSource, Order, Ticket
+    from vanillawell.coordination.tickets import CheckedRequest, LimitSource, Ticket
     from vanillawell.protocol.backend_calls import Answer
     from vanillawell.state.policy import OrganisationPolicy
     from vanillawell.state.queueing import Waiting
@@ -34,21 +34,25 @@
         self._rng = rng
 
     def on_arrival(
-        self, order: Order, pool: PoolRuntime, organisation: OrganisationPolicy, now: float
+        self,
+        request: CheckedRequest,
+        pool: PoolRuntime,
+        organisation: OrganisationPolicy,
+        now: float,
     ) -> Refusal | None:
         """Return the refusal of a request that need not be queued."""
         if not pool.links:
             return self.no_backend("the pool is empty")
-        by_limit = float(self._limits.usable(order.organisation, now))
-        if not by_limit and not self._limits.may_grow():
+        by_limit = float(self._limits.usable(request.organisation, now))
+        if not by_limit and not self._limits.can_acquire():
             return self.no_units(Verdict.NOT_RUN)
         state = QueueState(
-            length=pool.queue.length(order.organisation),
+            length=pool.queue.length(request.organisation),
             bound=organisation.queue_length,
             service_time=pool.service_time.mean,
-            slots=min(pool.slots_of(order.organisation), by_limit),
+            slots=min(pool.slots_of(request.organisation), by_limit),
         )
-        verdict = admit(state, order.deadline - now, self._rng)
+        verdict = admit(state, request.deadline - now, self._rng)
         if verdict.admitted:
             return None
         reason = Reason.QUEUE_FULL if verdict.queue_full else Reason.CANNOT_FINISH
--- a/vanillawell/coordination/assignment.py
+++ b/vanillawell/coordination/assignment.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from vanillawell.coordination.follower import DocumentFollower
+from vanillawell.coordination.document_sync import DocumentSync
 from vanillawell.state.pools import Assignment
 
 if TYPE_CHECKING:
@@ -15,7 +15,7 @@
     from vanillawell.telemetry import Telemetry
 
 
-class AssignmentFollower(DocumentFollower):
+class AssignmentSync(DocumentSync):
     """Own the assignment in force in this entry."""
 
     def __init__(
--- a/vanillawell/coordination/claims.py
+++ b/vanillawell/coordination/claims.py
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KeptAnswer:
+class StoredAnswer:
     """An answer that was kept for replay."""
 
     status: int
@@ -95,7 +95,7 @@
     """None deletes the claim, since the request provably did not run."""
 
 
-class ClaimDesk:
+class ClaimService:
     """Own the claims that this entry makes."""
 
     def __init__(
@@ -142,7 +142,7 @@
 
     async def claim(
         self, organisation: str, key: str, print_of_request: str
-    ) -> HeldClaim | KeptAnswer | Refusal:
+    ) -> HeldClaim | StoredAnswer | Refusal:
         """Claim a request, or return what is known of it already."""
         token = uuid.uuid4().hex
         claim = Claim(self._membership.me.holder, token, print_of_request)
@@ -159,7 +159,7 @@
                 wait = STORE_DOWN_RETRY_AFTER
                 return Refusal(Reason.STORE_DOWN, Verdict.NOT_RUN, retry_after=wait)
 
-    def _answer_from(self, claim: Claim, print_of_request: str) -> KeptAnswer | Refusal:
+    def _answer_from(self, claim: Claim, print_of_request: str) -> StoredAnswer | Refusal:
         if claim.fingerprint != print_of_request:
             return Refusal(Reason.KEY_REUSED, Verdict.NOT_RUN)
         if claim.state is ClaimState.RAN:
@@ -167,7 +167,7 @@
                 detail = "it ran; its answer was too large to keep"
                 return Refusal(Reason.OUTCOME_UNKNOWN, Verdict.RAN, detail)
             headers = [(name.encode(), value.encode()) for name, value in claim.headers]
-            return KeptAnswer(claim.status, headers, b64decode(claim.body))
+            return StoredAnswer(claim.status, headers, b64decode(claim.body))
         owners = {member.holder for member in self._membership.members.values()}
         if claim.state is ClaimState.STARTED and claim.owner in owners:
             wait = IN_PROGRESS_RETRY_AFTER
--- a/vanillawell/coordination/configuration.py
+++ b/vanillawell/coordination/configuration.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from vanillawell.coordination.follower import DocumentFollower
+from vanillawell.coordination.document_sync import DocumentSync
 from vanillawell.protocol.documents import Configuration
 from vanillawell.state.policy import Policy, compile_policy
 
@@ -17,7 +17,7 @@
     from vanillawell.telemetry import Telemetry
 
 
-class ConfigurationFollower(DocumentFollower):
+class ConfigurationSync(DocumentSync):
     """Own the configuration in force in this entry."""
 
     def __init__(
--- a/vanillawell/coordination/dispatch.py
+++ b/vanillawell/coordination/dispatch.py
@@ -10,9 +10,15 @@
 
 from vanillawell import clock
 from vanillawell.coordination.admission_check import AdmissionCheck
-from vanillawell.coordination.link_watch import LinkWatch
+from vanillawell.coordination.link_monitor import LinkMonitor
 from vanillawell.coordination.pool_runtime import PoolRuntime
-from vanillawell.coordination.tickets import LimitSource, Order, Ticket, delivered_to, failure_of
+from vanillawell.coordination.tickets import (
+    CheckedRequest,
+    LimitSource,
+    Ticket,
+    delivered_to,
+    failure_of,
+)
 from vanillawell.protocol.backend_calls import Answer, Attempt, AttemptError
 from vanillawell.protocol.refusals import Reason, Refusal
 from vanillawell.protocol.verdict import Verdict
@@ -84,7 +90,7 @@
         self._policy: Policy | None = None
         self._tickets: dict[Waiting, Ticket] = {}
         self._charges = ChargeBook()
-        self._watch = LinkWatch(tasks, telemetry, self._hedge, self.pump)
+        self._watch = LinkMonitor(tasks, telemetry, self._hedge, self.pump)
         self._owners: dict[Attempt, Ticket] = {}
 
     @property
@@ -134,26 +140,26 @@
         queued = sum(pool.queue.length(organisation) for pool in self._pools.values())
         return self._charges.charged(organisation) + queued
 
-    def submit(self, order: Order, now: float) -> Ticket | Refusal:
+    def submit(self, request: CheckedRequest, now: float) -> Ticket | Refusal:
         """Accept a request into its queue, or refuse it at once."""
-        pool = self._pools.get(order.pool)
+        pool = self._pools.get(request.pool)
         if (
             pool is None
             or self._policy is None
-            or order.organisation not in self._policy.organisations
+            or request.organisation not in self._policy.organisations
         ):
             detail = "the configuration changed while the request arrived"
             return Refusal(Reason.NO_SUCH_SERVICE, Verdict.NOT_RUN, detail)
-        organisation = self._policy.organisations[order.organisation]
-        refusal = self._admission.on_arrival(order, pool, organisation, now)
+        organisation = self._policy.organisations[request.organisation]
+        refusal = self._admission.on_arrival(request, pool, organisation, now)
         if refusal:
             return refusal
-        waiting = Waiting(order.organisation, order.urgent, now, order.deadline)
-        ticket = Ticket(order, waiting)
+        waiting = Waiting(request.organisation, request.urgent, now, request.deadline)
+        ticket = Ticket(request, waiting)
         self._tickets[waiting] = ticket
         pool.queue.add(waiting)
         pool.budget.note_first_attempt()
-        self._limits.note_demand(order.organisation)
+        self._limits.note_demand(request.organisation)
         self.pump(pool, now)
         return ticket
 
@@ -169,12 +175,12 @@
                 pool.queue.remove(item)
                 self._finish(ticket, self._admission.no_units(ticket.verdict_if_given_up))
 
-    def give_up(self, ticket: Ticket, reason: Reason, now: float) -> Refusal:
+    def abort(self, ticket: Ticket, reason: Reason, now: float) -> Refusal:
         """End a request early, for its deadline or because its caller left."""
-        pool = self._pools.get(ticket.order.pool)
+        pool = self._pools.get(ticket.request.pool)
         if pool and pool.queue.remove(ticket.waiting):
             self._tickets.pop(ticket.waiting, None)
-            self._limits.note_demand(ticket.order.organisation)
+            self._limits.note_demand(ticket.request.organisation)
         known = ticket.verdict_if_given_up
         refusal = Refusal(reason, Verdict.MAY_HAVE_RUN if ticket.running else known)
         ticket.finish(refusal)
@@ -219,12 +225,12 @@
     def _hedge(self, pool: PoolRuntime, attempt: Attempt, executor: str) -> None:
         """Send an overdue idempotent request a second time, once and within the budget."""
         ticket = self._owners[attempt]
-        wanted = ticket.order.idempotent and ticket.outcome is None and not ticket.hedged
+        wanted = ticket.request.idempotent and ticket.outcome is None and not ticket.hedged
         if not wanted or len(pool.links) < 2 or not pool.budget.take():
             return
         ticket.hedged = True
         ticket.waiting.tried.add(executor)
-        self._telemetry.retries.inc({"pool": ticket.order.pool, "kind": "hedge"})
+        self._telemetry.retries.inc({"pool": ticket.request.pool, "kind": "hedge"})
         pool.queue.add(ticket.waiting, front=True)
 
     def pump(self, pool: PoolRuntime, now: float) -> None:
@@ -272,8 +278,8 @@
     def _may_send(self, ticket: Ticket) -> bool:
         """Tell whether a request that was started may still go out now."""
         now = clock.read()
-        expired = ticket.outcome is not None or now >= ticket.order.deadline
-        return not expired and self._limits.usable(ticket.order.organisation, now) > 0
+        expired = ticket.outcome is not None or now >= ticket.request.deadline
+        return not expired and self._limits.usable(ticket.request.organisation, now) > 0
 
     async def _attempt(
         self, pool: PoolRuntime, ticket: Ticket, link: BackendLink, attempt: Attempt
@@ -283,7 +289,7 @@
         delivered: list[Answer] = []
         try:
             await link.exchange(
-                ticket.order.forward,
+                ticket.request.forward,
                 attempt,
                 self._longest,
                 delivered_to(ticket, delivered, pool, attempt),
@@ -299,21 +305,21 @@
         now = clock.read()
         del self._owners[attempt]
         self._settle_charge(ticket, attempt, error, now)
-        pool.occupy(ticket.order.organisation, -1, now)
+        pool.occupy(ticket.request.organisation, -1, now)
         self._conclude(pool, ticket, link.executor.name, error, delivered, now)
-        self.pump_all(now)
+        self.dispatch_all(now)
 
     def _settle_charge(
         self, ticket: Ticket, attempt: Attempt, error: AttemptError | None, now: float
     ) -> None:
-        organisation = ticket.order.organisation
+        organisation = ticket.request.organisation
         if error is not None and error.failure is Failure.NO_WHOLE_ANSWER:
             self._charges.release_later(organisation, attempt.started + self._longest)
         else:
             self._charges.release(organisation)
         self._limits.note_demand(organisation)
 
-    def pump_all(self, now: float) -> None:
+    def dispatch_all(self, now: float) -> None:
         """Start what may start in any pool."""
         for pool in self._pools.values():
             if len(pool.queue):
@@ -361,24 +367,24 @@
     ) -> None:
         if ticket.running:
             return
-        order = ticket.order
+        request = ticket.request
         failed = FailedAttempt(
-            failure, order.idempotent, len(ticket.waiting.tried), order.deadline - now
+            failure, request.idempotent, len(ticket.waiting.tried), request.deadline - now
         )
         reachable = min(pool.policy.attempts, len(pool.links))
         budget = pool.budget if self._budgeted else RetryBudget(0.0, bounded=False)
         decision = decide(failed, reachable, budget)
-        if decision is RetryDecision.GIVE_UP or order.pool not in self._pools:
+        if decision is RetryDecision.GIVE_UP or request.pool not in self._pools:
             self._finish(ticket, self._admission.after_failure(ticket, failure))
             return
-        self._telemetry.retries.inc({"pool": order.pool, "kind": decision.name.lower()})
+        self._telemetry.retries.inc({"pool": request.pool, "kind": decision.name.lower()})
         pool.queue.remove(ticket.waiting)
         pool.queue.add(ticket.waiting, front=True)
 
     def _finish(self, ticket: Ticket, outcome: Answer | Refusal | None) -> None:
         """Set the outcome and forget the request, also a second attempt of it that waits."""
         self._tickets.pop(ticket.waiting, None)
-        pool = self._pools.get(ticket.order.pool)
+        pool = self._pools.get(ticket.request.pool)
         if pool:
             pool.queue.remove(ticket.waiting)
         if outcome is not None:
--- a/vanillawell/coordination/follower.py
+++ b/vanillawell/coordination/document_sync.py
@@ -34,7 +34,7 @@
 """Poll intervals without word from a watcher after which an entry polls by itself."""
 
 
-class DocumentFollower(ABC):
+class DocumentSync(ABC):
     """Own the version of one document that is in force in this entry."""
 
     def __init__(
--- a/vanillawell/coordination/instance_list.py
+++ b/vanillawell/coordination/instance_list.py
@@ -12,7 +12,7 @@
 """What reading the list may cost; 4,000 instances make some 80 KB, read every 40 s then."""
 
 
-class InstanceListCopy:
+class InstanceListCache:
     """Own the planner's copy of the list.
 
     A copy only makes the list older than the platform's lag does already: its age counts on, so
--- a/vanillawell/coordination/limit_keeper.py
+++ b/vanillawell/coordination/limit_manager.py
@@ -58,7 +58,7 @@
 """Seconds after which a copy that shows no free units is read anew while units are lacking."""
 
 
-class LimitKeeper:
+class LimitManager:
     """Own this entry's limit units."""
 
     def __init__(
@@ -130,7 +130,7 @@
             return 0
         return self._copies[organisation].usable
 
-    def may_grow(self) -> bool:
+    def can_acquire(self) -> bool:
         """Tell whether units can be had from the store now."""
         return self._reachable
 
@@ -203,7 +203,7 @@
         for start in range(0, len(organisations), ORGANISATIONS_PER_WRITE):
             await self._settle_batch(organisations[start : start + ORGANISATIONS_PER_WRITE], now)
 
-    async def give_back_all(self) -> None:
+    async def release_all(self) -> None:
         """Return all units before a planned stop, when nothing of this entry runs any more."""
         self._stopping = True
         await self.settle_all()
--- a/vanillawell/coordination/link_watch.py
+++ b/vanillawell/coordination/link_monitor.py
@@ -15,7 +15,7 @@
     from vanillawell.telemetry import Telemetry
 
 
-class LinkWatch:
+class LinkMonitor:
     """Own the probes of one entry, one at a time for each executor."""
 
     def __init__(
--- a/vanillawell/coordination/membership.py
+++ b/vanillawell/coordination/membership.py
@@ -3,7 +3,7 @@
 Presence stands under a lease that the entry renews. What may be concluded from a missing
 presence is little: the entry may be cut off from the store and go on serving with the limit
 units it holds. So a missing holder counts as ended only with proof, or after the term for which
-it may use its units alone; see `HolderEnds`.
+it may use its units alone; see `HolderLiveness`.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 """Entries of each zone that follow the store for the others."""
 
 
-class HolderEnds:
+class HolderLiveness:
     """Decide when a holder of limit units, and all it may have started, has ended.
 
     A holder that is merely cut off goes on using its units until its own term runs out. If its
@@ -130,7 +130,7 @@
         self._telemetry = telemetry
         self._lease = 0
         self._members: dict[str, Presence] = {me.instance: me}
-        self._ends = HolderEnds(timing)
+        self._ends = HolderLiveness(timing)
         self._valid_until = 0.0
         self._observed = False
         self._listeners: list[Callable[[], None]] = []
--- a/vanillawell/coordination/peers.py
+++ b/vanillawell/coordination/peers.py
@@ -35,7 +35,7 @@
     from anyio.abc import ByteStream, TaskGroup
 
     from vanillawell.config.settings import TimingSettings
-    from vanillawell.coordination.follower import DocumentFollower
+    from vanillawell.coordination.document_sync import DocumentSync
     from vanillawell.coordination.membership import Membership
     from vanillawell.protocol.documents import Presence
     from vanillawell.protocol.peer_calls import PeerLink, PeerTransport
@@ -99,7 +99,7 @@
         self,
         tasks: TaskGroup,
         membership: Membership,
-        documents: Mapping[DocumentKind, DocumentFollower],
+        documents: Mapping[DocumentKind, DocumentSync],
         board: DemandBoard,
         timing: TimingSettings,
         telemetry: Telemetry,
@@ -130,9 +130,9 @@
     def add_seeds(self, seeds: Iterable[PeerAddress]) -> None:
         """Also dial these addresses while no other entry is known."""
         self._seeds = list(seeds)
-        self.follow_members()
+        self.update_links()
 
-    def follow_members(self) -> None:
+    def update_links(self) -> None:
         """Open links to new members and close those to gone ones.
 
         An entry that has lost the store leaves the list while it goes on serving. If it cannot
--- a/vanillawell/coordination/planner.py
+++ b/vanillawell/coordination/planner.py
@@ -16,7 +16,7 @@
 import anyio
 
 from vanillawell import clock
-from vanillawell.coordination.instance_list import InstanceListCopy
+from vanillawell.coordination.instance_list import InstanceListCache
 from vanillawell.coordination.role import NotHolderError, Role, act_while_held
 from vanillawell.protocol.calls import NoAnswerError, NotSentError
 from vanillawell.protocol.store import Compare, Put, Transaction
@@ -39,8 +39,8 @@
 
     from vanillawell.config.settings import TimingSettings
     from vanillawell.config.tree import OperatorTree
-    from vanillawell.coordination.assignment import AssignmentFollower
-    from vanillawell.coordination.configuration import ConfigurationFollower
+    from vanillawell.coordination.assignment import AssignmentSync
+    from vanillawell.coordination.configuration import ConfigurationSync
     from vanillawell.coordination.membership import Membership
     from vanillawell.protocol.documents import Presence, StoreKeys
     from vanillawell.protocol.peer_calls import AdminCalls
@@ -79,8 +79,8 @@
         keys: StoreKeys,
         platform: PlatformCalls,
         membership: Membership,
-        configuration: ConfigurationFollower,
-        assignment: AssignmentFollower,
+        configuration: ConfigurationSync,
+        assignment: AssignmentSync,
         demand: Callable[[], Mapping[str, int]],
         access: AdminCalls,
         timing: TimingSettings,
@@ -90,7 +90,7 @@
         self._store = store
         self._keys = keys
         self._platform = platform
-        self._list = InstanceListCopy(platform)
+        self._list = InstanceListCache(platform)
         self._membership = membership
         self._configuration = configuration
         self._follower = assignment
--- a/vanillawell/coordination/static_limits.py
+++ b/vanillawell/coordination/static_limits.py
@@ -31,6 +31,6 @@
     def note_demand(self, organisation: str) -> None:
         """Take no notice."""
 
-    def may_grow(self) -> bool:
+    def can_acquire(self) -> bool:
         """Tell that nothing ever moves."""
         return False
--- a/vanillawell/coordination/tickets.py
+++ b/vanillawell/coordination/tickets.py
@@ -28,12 +28,12 @@
     def note_demand(self, organisation: str) -> None:
         """Note that the organisation's demand here has changed."""
 
-    def may_grow(self) -> bool:
+    def can_acquire(self) -> bool:
         """Tell whether units can be had from the store now."""
 
 
 @dataclass(frozen=True, slots=True)
-class Order:
+class CheckedRequest:
     """One authenticated, checked request."""
 
     request_id: str
@@ -49,7 +49,7 @@
 class Ticket:
     """One accepted request on its way to its single final outcome."""
 
-    order: Order
+    request: CheckedRequest
     waiting: Waiting
     done: anyio.Event = field(default_factory=anyio.Event)
     outcome: Answer | Refusal | None = None
@@ -65,7 +65,7 @@
     hedged: bool = False
     """A second attempt was made because the first one was overdue."""
 
-    late: Callable[[Answer | None, Verdict], None] | None = None
+    on_late_outcome: Callable[[Answer | None, Verdict], None] | None = None
     """Hears how a request ended that had been given up on while it ran."""
 
     def finish(self, outcome: Answer | Refusal) -> None:
@@ -76,8 +76,8 @@
 
     def conclude_late(self, answer: Answer | None) -> None:
         """Tell how the last attempt of a request ended that was given up on."""
-        if self.late:
-            self.late(answer, Verdict.RAN if answer else self.verdict_if_given_up)
+        if self.on_late_outcome:
+            self.on_late_outcome(answer, Verdict.RAN if answer else self.verdict_if_given_up)
 
     @property
     def verdict_if_given_up(self) -> Verdict:
--- a/vanillawell/entry.py
+++ b/vanillawell/entry.py
@@ -162,7 +162,7 @@
             await anyio.sleep(STOP_POLL)
         with anyio.move_on_after(STOP_STORE_BOUND):
             try:
-                await self._core.limits.give_back_all()
+                await self._core.limits.release_all()
                 await self._core.membership.leave()
             except StoreError as error:
                 log.warning("units left to their term", extra={"reason": str(error)})
--- a/vanillawell/entry_core.py
+++ b/vanillawell/entry_core.py
@@ -7,12 +7,12 @@
 from typing import TYPE_CHECKING
 
 from vanillawell import clock
-from vanillawell.coordination.assignment import AssignmentFollower
-from vanillawell.coordination.claims import ClaimDesk
-from vanillawell.coordination.configuration import ConfigurationFollower
+from vanillawell.coordination.assignment import AssignmentSync
+from vanillawell.coordination.claims import ClaimService
+from vanillawell.coordination.configuration import ConfigurationSync
 from vanillawell.coordination.dispatch import Dispatcher
 from vanillawell.coordination.job_runner import JobRunner
-from vanillawell.coordination.limit_keeper import LimitKeeper
+from vanillawell.coordination.limit_manager import LimitManager
 from vanillawell.coordination.membership import Membership
 from vanillawell.coordination.peers import Peers
 from vanillawell.coordination.planner import Planner
@@ -59,13 +59,13 @@
         self.membership = Membership(
             store, keys, me, settings.store, timing, self.telemetry, platform
         )
-        self.configuration = ConfigurationFollower(
+        self.configuration = ConfigurationSync(
             store, keys, self.membership, settings.store, self.telemetry
         )
-        self.assignment = AssignmentFollower(
+        self.assignment = AssignmentSync(
             store, keys, self.membership, settings.store, self.telemetry
         )
-        self.limits = LimitKeeper(
+        self.limits = LimitManager(
             store, keys, self.membership, self._board, timing, self.telemetry, rng
         )
         self._static = StaticLimits(self.membership)
@@ -82,7 +82,7 @@
             timing.longest_request,
             settings.experiment,
         )
-        self.claims = ClaimDesk(store, keys, self.membership, timing, self.telemetry)
+        self.claims = ClaimService(store, keys, self.membership, timing, self.telemetry)
         self.peers = Peers(
             tasks,
             self.membership,
@@ -123,7 +123,7 @@
         self.limits.connect(
             self.dispatcher.wanted,
             self.dispatcher.charges.charged,
-            lambda: self.dispatcher.pump_all(clock.read()),
+            lambda: self.dispatcher.dispatch_all(clock.read()),
             lambda: self.dispatcher.refuse_without_units(clock.read()),
         )
         self.configuration.on_change(self._apply)
@@ -146,7 +146,7 @@
         self.peers.push()
 
     def _apply_members(self) -> None:
-        self.peers.follow_members()
+        self.peers.update_links()
         self._place()
 
     def _place(self) -> None:
--- a/vanillawell/tests/caller.py
+++ b/vanillawell/tests/caller.py
@@ -52,13 +52,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """What came back; `broken` names the error if the connection ended early."""
+    """What came back; `connection_error` names the error if the connection ended early."""
 
     call: Call
     status: int = 0
     headers: tuple[tuple[str, str], ...] = ()
     body: bytes = b""
-    broken: str = ""
+    connection_error: str = ""
     seconds: float = 0.0
 
     @property
@@ -104,7 +104,7 @@
             )
         except (httpcore.NetworkError, httpcore.TimeoutException, httpcore.ProtocolError) as error:
             seconds = time.monotonic() - started
-            return Reply(call, broken=type(error).__name__, seconds=seconds)
+            return Reply(call, connection_error=type(error).__name__, seconds=seconds)
         headers = tuple((k.decode().lower(), v.decode()) for k, v in response.headers)
         seconds = time.monotonic() - started
         return Reply(call, response.status, headers, response.content, "", seconds)
--- a/vanillawell/tests/claims_tests.py
+++ b/vanillawell/tests/claims_tests.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from vanillawell.coordination.claims import ClaimDesk, HeldClaim
+from vanillawell.coordination.claims import ClaimService, HeldClaim
 from vanillawell.exceptions import StoreOutcomeUnknownError
 from vanillawell.protocol.claim_documents import Claim, ClaimState
 from vanillawell.protocol.documents import StoreKeys
@@ -53,13 +53,13 @@
         return result
 
 
-def play(store: LossyStore, script: Callable[[ClaimDesk], Awaitable[None]]) -> None:
+def play(store: LossyStore, script: Callable[[ClaimService], Awaitable[None]]) -> None:
     """Run a script beside a desk until all its conclusions are written."""
 
     async def run() -> None:
         plain: Any = store
         member: Any = Member()
-        desk = ClaimDesk(plain, KEYS, member, timing(), Telemetry())
+        desk = ClaimService(plain, KEYS, member, timing(), Telemetry())
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(desk.run)
             await script(desk)
@@ -71,7 +71,7 @@
     anyio.run(run)
 
 
-async def held_claim(desk: ClaimDesk, key: str) -> HeldClaim:
+async def held_claim(desk: ClaimService, key: str) -> HeldClaim:
     held = await desk.claim("guild", key, "f")
     assert isinstance(held, HeldClaim)
     return held
@@ -88,7 +88,7 @@
     key = uuid7(1_700_000_000_000)
     stored = KEYS.claim("guild", key)
 
-    async def script(desk: ClaimDesk) -> None:
+    async def script(desk: ClaimService) -> None:
         held = await held_claim(desk, key)
         store.losses = 1
         store.after_loss = lambda: store.put(stored, ANOTHERS.to_bytes())
@@ -103,7 +103,7 @@
     store = LossyStore()
     keys = [uuid7(1_700_000_000_000 + number) for number in range(2)]
 
-    async def script(desk: ClaimDesk) -> None:
+    async def script(desk: ClaimService) -> None:
         first, second = [await held_claim(desk, key) for key in keys]
         store.losses = 1
         desk.conclude_ran(first, 200, [], b"one")
--- a/vanillawell/tests/config_tests.py
+++ b/vanillawell/tests/config_tests.py
@@ -14,7 +14,7 @@
 from vanillawell.config.loader import load_model
 from vanillawell.config.settings import DaemonSettings
 from vanillawell.config.validation import check_tree
-from vanillawell.coordination.membership import HolderEnds
+from vanillawell.coordination.membership import HolderLiveness
 from vanillawell.exceptions import SettingsError
 from vanillawell.protocol.documents import CHANGES_KEPT, Configuration, next_limit_changes
 from vanillawell.protocol.peer_messages import (
@@ -182,7 +182,7 @@
 
     If others took its missing presence for its end, an organisation would exceed its limit.
     """
-    ends = HolderEnds(timing(holding_term=100, longest_request=10, clock_drift=0))
+    ends = HolderLiveness(timing(holding_term=100, longest_request=10, clock_drift=0))
     old = presence("entry-1", "old")
     ends.observe([old], 0.0)
     ends.observe([], 5.0)
@@ -194,7 +194,7 @@
 
 
 def test_a_restart_proves_the_end_of_the_run_before() -> None:
-    ends = HolderEnds(timing(holding_term=100, longest_request=10, clock_drift=0))
+    ends = HolderLiveness(timing(holding_term=100, longest_request=10, clock_drift=0))
     old, new = presence("entry-1", "old"), presence("entry-1", "new")
     ends.observe([new], 5.0)
     assert ends.ended([old.holder]) == set()
--- a/vanillawell/tests/fleet_base.py
+++ b/vanillawell/tests/fleet_base.py
@@ -97,7 +97,7 @@
             await anyio.sleep(self._pause)
 
 
-def during_load(callers: SteadyCallers, script: Callable[[], None]) -> list[Reply]:
+def run_during_load(callers: SteadyCallers, script: Callable[[], None]) -> list[Reply]:
     """Run a blocking script of faults in a thread while callers send."""
 
     async def run() -> None:
--- a/vanillawell/tests/instance_list_tests.py
+++ b/vanillawell/tests/instance_list_tests.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from vanillawell.coordination.instance_list import InstanceListCopy
+from vanillawell.coordination.instance_list import InstanceListCache
 from vanillawell.protocol.platform_calls import InstanceList
 
 
@@ -25,7 +25,7 @@
 def test_a_large_list_is_read_seldom_and_its_age_counts_on() -> None:
     """A list of 80 KB read twice a second would cost 160 KB/s, where 4 KB/s are allowed."""
     platform: Any = CountingPlatform(80_000)
-    copy = InstanceListCopy(platform)
+    copy = InstanceListCache(platform)
 
     async def play() -> list[float]:
         return [(await copy.current(float(now))).age for now in range(120)]
@@ -37,7 +37,7 @@
 
 def test_a_small_list_is_read_at_every_look() -> None:
     platform: Any = CountingPlatform(700)
-    copy = InstanceListCopy(platform)
+    copy = InstanceListCache(platform)
 
     async def play() -> None:
         for now in range(20):
--- a/vanillawell/tests/jobs_tests.py
+++ b/vanillawell/tests/jobs_tests.py
@@ -19,7 +19,7 @@
 )
 from vanillawell.tests.builders import QUICK_TIMING
 from vanillawell.tests.caller import Call
-from vanillawell.tests.fleet_base import SteadyCallers, during_load, running_fleet
+from vanillawell.tests.fleet_base import SteadyCallers, run_during_load, running_fleet
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -154,7 +154,7 @@
             callers.leave(killed)
             killed.process.kill()
 
-        during_load(callers, peak)
+        run_during_load(callers, peak)
         ended = {"done", "failed"}
         wait_until(lambda: set(states(fleet).values()) <= ended, "all jobs end", bound=60.0)
         good = sorted(jobs[kind] for kind in kinds)
--- a/vanillawell/tests/lending_proof_tests.py
+++ b/vanillawell/tests/lending_proof_tests.py
@@ -7,7 +7,7 @@
 from vanillawell.standins.processes import wait_until
 from vanillawell.tests.builders import QUICK_TIMING
 from vanillawell.tests.caller import Call
-from vanillawell.tests.fleet_base import SteadyCallers, during_load, running_fleet
+from vanillawell.tests.fleet_base import SteadyCallers, run_during_load, running_fleet
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -65,7 +65,7 @@
         entry = fleet.entries["entry-1-1"]
         for service in ("check", "stamp"):
             pool = f"pool-{service}"
-            replies = during_load(
+            replies = run_during_load(
                 flood(fleet, service),
                 lambda pool=pool: wait_until(  # type: ignore[misc]
                     lambda: is_lent_to(entry, pool), "both are lent"
--- a/vanillawell/tests/limit_keeper_tests.py
+++ b/vanillawell/tests/limit_manager_tests.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from vanillawell.coordination.limit_keeper import LimitKeeper
+from vanillawell.coordination.limit_manager import LimitManager
 from vanillawell.exceptions import StoreError
 from vanillawell.protocol.documents import StoreKeys
 from vanillawell.state.board import DemandBoard, Row
@@ -59,7 +59,7 @@
         self.members = KnownMembers(self.me, machine.members, machine.over)
         store: Any = machine.store
         members: Any = self.members
-        self.keeper = LimitKeeper(
+        self.keeper = LimitManager(
             store,
             StoreKeys("/t"),
             members,
@@ -291,5 +291,5 @@
     there within milliseconds."""
     machine = LimitRaces()
     holder = Holder(machine, "entry-1")
-    assert holder.keeper.may_grow()
+    assert holder.keeper.can_acquire()
     machine.teardown()
--- a/vanillawell/tests/limit_proof_tests.py
+++ b/vanillawell/tests/limit_proof_tests.py
@@ -14,7 +14,7 @@
 from vanillawell.tests.caller import Call
 from vanillawell.tests.fleet_base import (
     SteadyCallers,
-    during_load,
+    run_during_load,
     running_fleet,
     send_one,
     units_held,
@@ -66,7 +66,7 @@
         script(callers)
         wait_for_answers(callers, answers, "requests are answered after the faults")
 
-    during_load(callers, whole)
+    run_during_load(callers, whole)
     counts = fleet.backend_counts()
     assert counts["most_running"]["guild"] <= LIMIT
     assert counts["most_running"]["guild"] >= LIMIT - 1, "the limit was hardly used"
@@ -212,4 +212,4 @@
             wait_for_answers(callers, 60, "requests are answered under the new limit")
             assert fleet.backend_counts()["most_running"]["guild"] <= 3
 
-        during_load(callers, script)
+        run_during_load(callers, script)
--- a/vanillawell/tests/maintenance_proof_tests.py
+++ b/vanillawell/tests/maintenance_proof_tests.py
@@ -10,7 +10,7 @@
 from vanillawell.tests.caller import Call
 from vanillawell.tests.fleet_base import (
     SteadyCallers,
-    during_load,
+    run_during_load,
     running_fleet,
     wait_for_answers,
 )
@@ -91,7 +91,7 @@
             fleet.cli("maintenance", "start")
             wait_until(lambda: wave_state(fleet)[0] == "done", "the wave ends", bound=90.0)
 
-        replies = during_load(callers, script)
+        replies = run_during_load(callers, script)
         check_wave(fleet, replies)
         record = fleet.margins()
         assert record["least_available"]["pool-check"] >= BUDGET + 1
@@ -129,7 +129,7 @@
             second.process.resume()
             wait_until(lambda: wave_state(fleet)[0] == "done", "the wave ends", bound=90.0)
 
-        during_load(callers, script)
+        run_during_load(callers, script)
         check_wave(fleet, [])
         assert fleet.margins()["least_available"]["pool-check"] >= BUDGET
 
@@ -174,7 +174,7 @@
             fleet.reset_backend()
             wait_for_answers(callers, 100, "requests are answered after the move")
 
-        replies = during_load(callers, script)
+        replies = run_during_load(callers, script)
         assert [reply for reply in replies if reply.status != 200] == []
         assert [run for run in fleet.backend_runs() if run["executor"] == "check-5"] == []
 
@@ -213,7 +213,7 @@
                 fleet.clear(name)
             wait_until(lambda: executors("pool-stamp") == 7, "the move ends after the cut")
 
-        replies = during_load(callers, script)
+        replies = run_during_load(callers, script)
         assert [reply for reply in replies if reply.status != 200] == []
 
 
--- a/vanillawell/tests/outcome_proof_tests.py
+++ b/vanillawell/tests/outcome_proof_tests.py
@@ -15,8 +15,8 @@
 from vanillawell.tests.caller import Call, Callers
 from vanillawell.tests.fleet_base import (
     SteadyCallers,
-    during_load,
     run_async,
+    run_during_load,
     running_fleet,
     runs_by_mark,
     send_all,
@@ -59,7 +59,7 @@
             assert runs.get(mark, 0) == 0, f"{reply.problem} said not-run and {mark} ran"
         if reply.call.method == "POST":
             assert runs.get(mark, 0) <= 1, f"{mark} ran {runs[mark]} times"
-    return Counter(reply.verdict or reply.broken for reply in replies)
+    return Counter(reply.verdict or reply.connection_error for reply in replies)
 
 
 def mixed_call(number: int) -> Call:
@@ -92,7 +92,7 @@
             wait_for_answers(callers, 100, "requests are answered without one executor")
             fleet.clear("c")
 
-        kinds = check_replies(fleet, during_load(callers, script))
+        kinds = check_replies(fleet, run_during_load(callers, script))
         assert kinds["may-have-run"] > 0, "no fault struck a stamp"
         counts = fleet.network_counts()
         assert counts["struck cut-after-request"] == 15
@@ -113,7 +113,7 @@
             return Call(mark=f"m{number}", run_seconds=1.0, timeout=3.5)
 
         callers = SteadyCallers(list(fleet.entries.values()), make, open_requests=8)
-        replies = during_load(
+        replies = run_during_load(
             callers, lambda: wait_until(lambda: len(fleet.backend_runs()) >= 12, "12 have run")
         )
         answered = sum(reply.status == 200 for reply in replies)
@@ -302,7 +302,7 @@
         assert len(send_one(entry, Call()).body) == 8_000_000
         fleet.fault("late-cut", "cut-in-answer", link="executor", after=1_000_000, count=1)
         reply = send_one(entry, Call(method="POST"))
-        assert reply.broken == "RemoteProtocolError"
+        assert reply.connection_error == "RemoteProtocolError"
 
 
 def test_a_failing_executor_does_not_draw_all_load(tmp_path: Path) -> None:
@@ -317,7 +317,7 @@
         def script() -> None:
             wait_for_answers(callers, 400, "requests are answered beside the failing one")
 
-        replies = during_load(callers, script)
+        replies = run_during_load(callers, script)
         assert fleet.backend_counts()["started"]["check-2"] < len(replies) / 10
         failed = [reply for reply in replies if reply.status != 200]
         assert len(failed) < 25
@@ -331,7 +331,7 @@
                 "the executor is used again",
             )
 
-        during_load(more, recover)
+        run_during_load(more, recover)
 
 
 def test_silent_connections_are_replaced(tmp_path: Path) -> None:
@@ -353,5 +353,5 @@
             fleet.fault("lost", "silence-old", link="executor")
             wait_for_answers(callers, 300, "requests are answered over new connections")
 
-        replies = during_load(callers, script)
+        replies = run_during_load(callers, script)
         assert all(reply.status == 200 for reply in replies)
--- a/vanillawell/tests/planner_tests.py
+++ b/vanillawell/tests/planner_tests.py
@@ -7,7 +7,7 @@
 import anyio
 import pytest
 
-from vanillawell.coordination.assignment import AssignmentFollower
+from vanillawell.coordination.assignment import AssignmentSync
 from vanillawell.coordination.planner import Planner
 from vanillawell.coordination.role import NotHolderError
 from vanillawell.protocol.documents import StoreKeys
@@ -31,11 +31,11 @@
         self.lease = 7
 
 
-def planner_of(store: RacyStore, name: str) -> tuple[Planner, AssignmentFollower]:
+def planner_of(store: RacyStore, name: str) -> tuple[Planner, AssignmentSync]:
     member: Any = LeasedMember(presence(name))
     anything: Any = None
     plain: Any = store
-    follower = AssignmentFollower(plain, KEYS, member, store_settings(1), Telemetry())
+    follower = AssignmentSync(plain, KEYS, member, store_settings(1), Telemetry())
     planner = Planner(
         plain,
         KEYS,
--- a/vanillawell/tests/rollout_proof_tests.py
+++ b/vanillawell/tests/rollout_proof_tests.py
@@ -16,7 +16,7 @@
 from vanillawell.tests.caller import Call, Reply
 from vanillawell.tests.fleet_base import (
     SteadyCallers,
-    during_load,
+    run_during_load,
     running_fleet,
     send_all,
     send_one,
@@ -234,7 +234,7 @@
             assert stopping.process.wait() == 0
             wait_for_answers(callers, 30, "the others answer")
 
-        replies = during_load(callers, script)
+        replies = run_during_load(callers, script)
         assert len(kept) == 3
         assert [reply for reply in [*replies, *kept] if reply.status != 200] == []
         held = fleet.entries["entry-1-2"].status()["entries"]
--- a/vanillawell/tests/security_tests.py
+++ b/vanillawell/tests/security_tests.py
@@ -79,7 +79,7 @@
         entry = fleet.entries["entry-1-1"]
         _, answer = ask(entry, made)
         assert answer.startswith(b"HTTP/1.1 200")
-        assert send_one(entry, Call()).broken, "it still takes plain HTTP"
+        assert send_one(entry, Call()).connection_error, "it still takes plain HTTP"
         assert set(fleet.cli("status")) == set(fleet.entries)
         assert fleet.cli("node", "set", "guild", "limit=5", "--wait")["lagging"] == []
 
--- a/vanillawell/transport/admin.py
+++ b/vanillawell/transport/admin.py
@@ -13,10 +13,10 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from vanillawell.coordination.assignment import AssignmentFollower
-    from vanillawell.coordination.configuration import ConfigurationFollower
+    from vanillawell.coordination.assignment import AssignmentSync
+    from vanillawell.coordination.configuration import ConfigurationSync
     from vanillawell.coordination.dispatch import Dispatcher
-    from vanillawell.coordination.limit_keeper import LimitKeeper
+    from vanillawell.coordination.limit_manager import LimitManager
     from vanillawell.coordination.membership import Membership
     from vanillawell.state.burn import BurnBook
     from vanillawell.telemetry import Telemetry
@@ -79,10 +79,10 @@
     def __init__(
         self,
         membership: Membership,
-        configuration: ConfigurationFollower,
-        assignment: AssignmentFollower,
+        configuration: ConfigurationSync,
+        assignment: AssignmentSync,
         dispatcher: Dispatcher,
-        limits: LimitKeeper,
+        limits: LimitManager,
         telemetry: Telemetry,
         burn: BurnBook,
         store_calls: Callable[[], int],
--- a/vanillawell/transport/caller.py
+++ b/vanillawell/transport/caller.py
@@ -10,8 +10,8 @@
 import anyio
 
 from vanillawell import clock
-from vanillawell.coordination.claims import HeldClaim, KeptAnswer
-from vanillawell.coordination.tickets import Order, Ticket
+from vanillawell.coordination.claims import HeldClaim, StoredAnswer
+from vanillawell.coordination.tickets import CheckedRequest, Ticket
 from vanillawell.protocol.backend_calls import Answer, Forward
 from vanillawell.protocol.claim_documents import fingerprint
 from vanillawell.protocol.refusals import Reason, Refusal
@@ -25,8 +25,8 @@
 from vanillawell.transport.request_head import Head, RequestRefusedError, read_head, refused
 
 if TYPE_CHECKING:
-    from vanillawell.coordination.claims import ClaimDesk
-    from vanillawell.coordination.configuration import ConfigurationFollower
+    from vanillawell.coordination.claims import ClaimService
+    from vanillawell.coordination.configuration import ConfigurationSync
     from vanillawell.coordination.dispatch import Dispatcher
     from vanillawell.state.burn import BurnBook
     from vanillawell.state.policy import OrganisationPolicy, Policy, PoolPolicy
@@ -79,9 +79,9 @@
 
     def __init__(
         self,
-        configuration: ConfigurationFollower,
+        configuration: ConfigurationSync,
         dispatcher: Dispatcher,
-        claims: ClaimDesk,
+        claims: ClaimService,
         telemetry: Telemetry,
         burn: BurnBook,
         prefix: str,
@@ -155,11 +155,11 @@
             raise refused(Reason.BODY_LATE) from None
         except BodyTooLargeError:
             raise refused(Reason.TOO_LARGE, f"at most {pool.body_bound} bytes") from None
-        order = self._order(head, organisation, pool, body, deadline)
+        request = self._order(head, organisation, pool, body, deadline)
         key = head.headers.get(b"idempotency-key")
         if head.idempotent or key is None:
-            return await self._run(order, receive, send, None)
-        return await self._run_claimed(order, key.decode("latin-1"), receive, send)
+            return await self._run(request, receive, send, None)
+        return await self._run_claimed(request, key.decode("latin-1"), receive, send)
 
     def _ready_policy(self) -> Policy:
         if self._refusing:
@@ -189,7 +189,7 @@
         pool: PoolPolicy,
         body: bytes,
         deadline: float,
-    ) -> Order:
+    ) -> CheckedRequest:
         request_id = next(self._ids)
         headers = [(name, value) for name, value in head.raw_headers if name not in NOT_FORWARDED]
         headers += [
@@ -198,7 +198,7 @@
             (b"vanillawell-organisation", organisation.name.encode()),
             (b"vanillawell-request", request_id.encode()),
         ]
-        return Order(
+        return CheckedRequest(
             request_id=request_id,
             organisation=organisation.name,
             pool=pool.name,
@@ -208,17 +208,19 @@
             forward=Forward(head.method, head.target, headers, body),
         )
 
-    async def _run_claimed(self, order: Order, key: str, receive: Receive, send: Send) -> Outcome:
+    async def _run_claimed(
+        self, request: CheckedRequest, key: str, receive: Receive, send: Send
+    ) -> Outcome:
         refusal = self._claims.check_key(key, time.time())
         if refusal:
             raise RequestRefusedError(refusal)
-        forward = order.forward
+        forward = request.forward
         print_of_request = fingerprint(forward.method, forward.target, forward.body)
-        claimed = await self._claims.claim(order.organisation, key, print_of_request)
+        claimed = await self._claims.claim(request.organisation, key, print_of_request)
         match claimed:
             case Refusal():
                 raise RequestRefusedError(claimed)
-            case KeptAnswer():
+            case StoredAnswer():
                 headers = [
                     *claimed.headers,
                     (b"idempotency-replayed", b"true"),
@@ -227,12 +229,12 @@
                 await send_bytes(send, claimed.status, claimed.body, headers)
                 return Outcome("replayed", claimed.status)
             case _:
-                return await self._run(order, receive, send, claimed)
+                return await self._run(request, receive, send, claimed)
 
     async def _run(
-        self, order: Order, receive: Receive, send: Send, claim: HeldClaim | None
+        self, request: CheckedRequest, receive: Receive, send: Send, claim: HeldClaim | None
     ) -> Outcome:
-        ticket = self._dispatcher.submit(order, clock.read())
+        ticket = self._dispatcher.submit(request, clock.read())
         if isinstance(ticket, Refusal):
             if claim:
                 self._claims.conclude_not_run(claim)
@@ -259,19 +261,19 @@
         if isinstance(outcome, Answer):
             conclude(outcome, Verdict.RAN)
         elif ticket.running:
-            ticket.late = conclude
+            ticket.on_late_outcome = conclude
         else:
             conclude(None, outcome.verdict)
 
     async def _wait(self, ticket: Ticket, receive: Receive) -> Answer | Refusal:
         """Wait for the outcome, the deadline or the caller's leaving, whichever is first."""
-        with anyio.move_on_after(max(0.0, ticket.order.deadline - clock.read())):
+        with anyio.move_on_after(max(0.0, ticket.request.deadline - clock.read())):
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self._watch_caller, ticket, receive)
                 await ticket.done.wait()
                 tasks.cancel_scope.cancel()
         if ticket.outcome is None:
-            self._dispatcher.give_up(ticket, Reason.DEADLINE, clock.read())
+            self._dispatcher.abort(ticket, Reason.DEADLINE, clock.read())
         assert ticket.outcome is not None
         return ticket.outcome
 
@@ -279,7 +281,7 @@
         while True:
             message = await receive()
             if message["type"] == "http.disconnect":
-                self._dispatcher.give_up(ticket, Reason.DEADLINE, clock.read())
+                self._dispatcher.abort(ticket, Reason.DEADLINE, clock.read())
                 return
 
     async def _send_answer(self, send: Send, answer: Answer) -> None:
