--- a/vanillawell/coordination/admission_check.py
+++ b/vanillawell/coordination/admission_check.py
@@ -1,4 +1,4 @@
-"""Decide with what refusal, if any, a request is answered before it is started."""
+"""Decide whether a request is refused before it is started, and with which refusal."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
     from vanillawell.state.queueing import Waiting
 
 NO_BACKEND_RETRY_AFTER = 1.0
-"""Seconds to stay away from a service whose backend servers cannot be reached."""
+"""Seconds after which to retry a service whose backend servers are unreachable."""
 
 NO_UNITS_RETRY_AFTER = 0.5
-"""Seconds after which the balancer may have an entry that holds units of the organisation's limit.
-Seconds after which the balancer may have an entry that holds units of the organisation's limit."""
+"""Seconds after which to retry; the load balancer may then choose an entry that holds units of the
+organisation's limit."""
 
 
 class AdmissionCheck:
-    """Refuse what cannot be answered in time, and say when to come back."""
+    """Refuse requests that cannot be answered in time, with a delay after which to retry."""
 
     def __init__(self, limits: LimitSource, rng: random.Random) -> None:
         self._limits = limits
@@ -40,7 +40,7 @@
         organisation: OrganisationPolicy,
         now: float,
     ) -> Refusal | None:
-        """Return the refusal of a request that need not be queued."""
+        """Return the refusal of an arriving request, or None if it may be queued."""
         if not pool.links:
             return self.no_backend("the pool is empty")
         by_limit = float(self._limits.usable(request.organisation, now))
@@ -59,28 +59,28 @@
         return Refusal(reason, Verdict.NOT_RUN, retry_after=verdict.retry_after)
 
     def no_units(self, verdict: Verdict) -> Refusal:
-        """Refuse what waits for units that cannot be had now."""
+        """Return the refusal of a request whose limit units cannot be acquired now."""
         wait = spread(NO_UNITS_RETRY_AFTER, self._rng)
         return Refusal(Reason.NO_UNITS, verdict, retry_after=wait)
 
     def no_backend(self, detail: str = "") -> Refusal:
-        """Refuse what no backend server can be reached for."""
+        """Return the refusal of a request for which no backend server can be reached."""
         wait = spread(NO_BACKEND_RETRY_AFTER, self._rng)
         return Refusal(Reason.NO_BACKEND, Verdict.NOT_RUN, detail, wait)
 
     def worth_starting(self, pool: PoolRuntime, item: Waiting, now: float) -> bool:
-        """Tell whether a request that has waited has enough time left to be started."""
+        """Return whether a queued request has enough time left to be started."""
         others_wait = pool.queue.length(item.organisation) > 0
         return worth_starting(item.deadline - now, pool.service_time.usual_least, others_wait)
 
-    def hopeless(self, pool: PoolRuntime, ticket: Ticket) -> Answer | Refusal:
+    def cannot_finish(self, pool: PoolRuntime, ticket: Ticket) -> Answer | Refusal:
         """Return the final outcome of a request that has too little time left."""
         wait = spread(pool.service_time.mean, self._rng)
-        refusal = Refusal(Reason.CANNOT_FINISH, ticket.verdict_if_given_up, retry_after=wait)
+        refusal = Refusal(Reason.CANNOT_FINISH, ticket.verdict_if_aborted, retry_after=wait)
         return ticket.last_answer or refusal
 
     def after_failure(self, ticket: Ticket, failure: Failure) -> Answer | Refusal:
-        """Return the final outcome of a request that is not tried again."""
+        """Return the final outcome of a failed request that is not retried."""
         if ticket.last_answer is not None:
             return ticket.last_answer
         if ticket.may_have_run:
--- a/vanillawell/coordination/claims.py
+++ b/vanillawell/coordination/claims.py
@@ -1,13 +1,13 @@
-"""Run a non-idempotent request at most once per Idempotency-Key, wherever it is sent again.
+"""Run a non-idempotent request at most once per Idempotency-Key, whichever entry receives it.
 
 Before such a request is queued, its key is claimed in the platform's store by a write that
-requires the key to be absent. Whoever else sees the claim answers from it and never runs the
-request. Many claims travel in one transaction, so that the store's write rate does not bound
-them one by one.
+requires the key to be absent. Any entry that finds an existing claim answers from it and does not
+run the request. Claims are written in batches, one transaction each, so that the store's write
+rate does not limit the rate of requests.
 
-What this guards against: the caller sends again through another entry after a timeout; the
-entry that claimed is killed, paused or cut off; the answer of the claim's own write is lost.
-Without a claim the request would run twice, and a stamp would be doubled.
+Without claims a request could run twice, and for example issue two stamps, in these cases: the
+caller retries through another entry after a timeout; the entry that claimed the key is killed,
+paused or cut off; or the store's answer to the claim itself is lost.
 """
 
 from __future__ import annotations
@@ -36,29 +36,30 @@
     from vanillawell.protocol.store import Store
     from vanillawell.telemetry import Telemetry
 
-CLAIMS_PER_WRITE = 60
-"""Claims in one transaction; etcd allows 128 operations, and each claim takes two."""
+MAX_CLAIMS_PER_TRANSACTION = 60
+"""Maximum claims in one transaction; etcd allows 128 operations, and each claim takes two."""
 
-FLEET_WRITES_PER_SECOND = 100.0
-"""Transactions a second that all entries together make at most for claims, and as many again
-for conclusions; the platform's service takes several hundred writes a second."""
+MAX_FLEET_WRITES_PER_SECOND = 100.0
+"""Maximum transactions per second for claims, summed over all entries, and the same number for
+conclusions; the platform's store handles several hundred writes per second."""
 
-LARGEST_KEPT_ANSWER = 16_384
-"""Bytes of an answer that are kept for replay; a larger one is only known to have run."""
+MAX_STORED_ANSWER_BYTES = 16_384
+"""Maximum body size of an answer that is stored for replay; for larger ones only the fact that the
+request ran is stored."""
 
-CLOCK_SKEW = 300.0
-"""Seconds by which a caller's clock may be ahead in the time of its key."""
+MAX_CLOCK_SKEW = 300.0
+"""Maximum seconds by which the time in a key may be ahead of this entry's clock."""
 
 IN_PROGRESS_RETRY_AFTER = 1.0
-"""Seconds after which a request that runs elsewhere is worth asking for again."""
+"""Seconds after which a caller should retry a request that another entry is still running."""
 
 STORE_DOWN_RETRY_AFTER = 2.0
-"""Seconds after which a claim is worth trying again while the store is down."""
+"""Seconds after which a caller should retry while the store is unreachable."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoredAnswer:
-    """An answer that was kept for replay."""
+    """An answer that was stored for replay."""
 
     status: int
     headers: list[tuple[bytes, bytes]]
@@ -67,13 +68,13 @@
 
 @dataclass(slots=True, eq=False)
 class HeldClaim:
-    """A claim that this entry has made and must conclude."""
+    """A claim that this entry has written and must conclude."""
 
     key: str
     claim: Claim
     lease: int
     revision: int
-    """Revision at which the store made it; its conclusion is written only over that."""
+    """Store revision of the claim; its conclusion is written only if this is unchanged."""
 
 
 @dataclass(slots=True, eq=False)
@@ -83,7 +84,7 @@
     done: anyio.Event = field(default_factory=anyio.Event)
     result: HeldClaim | KeyValue | StoreError | None = None
 
-    def settle(self, result: HeldClaim | KeyValue | StoreError) -> None:
+    def resolve(self, result: HeldClaim | KeyValue | StoreError) -> None:
         self.result = result
         self.done.set()
 
@@ -92,11 +93,11 @@
 class _PendingConclusion:
     held: HeldClaim
     claim: Claim | None
-    """None deletes the claim, since the request provably did not run."""
+    """Concluded claim to store; None deletes the claim, since the request provably did not run."""
 
 
 class ClaimService:
-    """Own the claims that this entry makes."""
+    """Write and conclude the claims of this entry."""
 
     def __init__(
         self,
@@ -121,19 +122,19 @@
 
     @property
     def unfinished(self) -> int:
-        """Count claims and conclusions that are not written yet."""
+        """Return the number of claims and conclusions that are not written yet."""
         return len(self._pending) + len(self._conclusions)
 
     def check_key(self, key: str, wall_now: float) -> Refusal | None:
-        """Refuse a key that is no UUIDv7, or too old for its claim to be remembered.
+        """Refuse a key that is not a UUIDv7, or that is older than the retention of claims.
 
-        Forgetting a claim while its key is still accepted would run the request again.
+        If such a key were accepted after its claim expired, the request would run again.
         """
         minted = minted_at(key)
         if minted is None:
             detail = "Idempotency-Key must be a UUID of version 7 (RFC 9562)"
             return Refusal(Reason.MALFORMED, Verdict.NOT_RUN, detail)
-        if minted > wall_now + CLOCK_SKEW:
+        if minted > wall_now + MAX_CLOCK_SKEW:
             detail = "the time in Idempotency-Key lies ahead"
             return Refusal(Reason.MALFORMED, Verdict.NOT_RUN, detail)
         if minted < wall_now - self._timing.claim_retention:
@@ -141,11 +142,11 @@
         return None
 
     async def claim(
-        self, organisation: str, key: str, print_of_request: str
+        self, organisation: str, key: str, request_fingerprint: str
     ) -> HeldClaim | StoredAnswer | Refusal:
-        """Claim a request, or return what is known of it already."""
+        """Claim a key for a request, or return the result of an existing claim."""
         token = uuid.uuid4().hex
-        claim = Claim(self._membership.me.holder, token, print_of_request)
+        claim = Claim(self._membership.me.holder, token, request_fingerprint)
         pending = _PendingClaim(self._keys.claim(organisation, key), claim)
         self._pending.append(pending)
         self._claims_wake.set()
@@ -154,13 +155,17 @@
             case HeldClaim():
                 return pending.result
             case KeyValue():
-                return self._answer_from(Claim.from_bytes(pending.result.value), print_of_request)
+                return self._result_from_existing(
+                    Claim.from_bytes(pending.result.value), request_fingerprint
+                )
             case _:
                 wait = STORE_DOWN_RETRY_AFTER
                 return Refusal(Reason.STORE_DOWN, Verdict.NOT_RUN, retry_after=wait)
 
-    def _answer_from(self, claim: Claim, print_of_request: str) -> StoredAnswer | Refusal:
-        if claim.fingerprint != print_of_request:
+    def _result_from_existing(
+        self, claim: Claim, request_fingerprint: str
+    ) -> StoredAnswer | Refusal:
+        if claim.fingerprint != request_fingerprint:
             return Refusal(Reason.KEY_REUSED, Verdict.NOT_RUN)
         if claim.state is ClaimState.RAN:
             if claim.body is None:
@@ -168,14 +173,14 @@
                 return Refusal(Reason.OUTCOME_UNKNOWN, Verdict.RAN, detail)
             headers = [(name.encode(), value.encode()) for name, value in claim.headers]
             return StoredAnswer(claim.status, headers, b64decode(claim.body))
-        owners = {member.holder for member in self._membership.members.values()}
-        if claim.state is ClaimState.STARTED and claim.owner in owners:
+        live_holders = {member.holder for member in self._membership.members.values()}
+        if claim.state is ClaimState.STARTED and claim.owner in live_holders:
             wait = IN_PROGRESS_RETRY_AFTER
             return Refusal(Reason.IN_PROGRESS, Verdict.MAY_HAVE_RUN, retry_after=wait)
         return Refusal(Reason.OUTCOME_UNKNOWN, Verdict.MAY_HAVE_RUN)
 
     def conclude_not_run(self, held: HeldClaim) -> None:
-        """Free a claim whose request provably did not run."""
+        """Delete a claim whose request provably did not run."""
         self._conclusions.append(_PendingConclusion(held, None))
         self._conclusions_wake.set()
 
@@ -188,8 +193,8 @@
     def conclude_ran(
         self, held: HeldClaim, status: int, headers: Sequence[tuple[bytes, bytes]], body: bytes
     ) -> None:
-        """Keep the answer of a request that ran."""
-        fits = len(body) <= LARGEST_KEPT_ANSWER
+        """Store the answer of a request that ran."""
+        fits = len(body) <= MAX_STORED_ANSWER_BYTES
         claim = replace(
             held.claim,
             state=ClaimState.RAN,
@@ -205,8 +210,8 @@
     async def run(self) -> None:
         """Write claims and conclusions in batches until cancelled.
 
-        They are written apart: a request waits for its claim, and behind a conclusion in a slow
-        store it would wait twice.
+        They are written by separate tasks: a request waits for its claim to be written, and with a
+        slow store it would otherwise wait for the conclusions of other requests as well.
         """
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._orphans.run)
@@ -218,32 +223,32 @@
             if not self._pending:
                 self._claims_wake = anyio.Event()
                 await self._claims_wake.wait()
-            claims = self._pending[:CLAIMS_PER_WRITE]
+            claims = self._pending[:MAX_CLAIMS_PER_TRANSACTION]
             del self._pending[: len(claims)]
             await self._write_claims(claims)
-            await anyio.sleep(self._pause())
+            await anyio.sleep(self._write_interval())
 
     async def _run_conclusions(self) -> None:
         while True:
             if not self._conclusions:
                 self._conclusions_wake = anyio.Event()
                 await self._conclusions_wake.wait()
-            conclusions = self._conclusions[:CLAIMS_PER_WRITE]
-            settled = await self._write_conclusions(conclusions)
-            self._conclusions = [item for item in self._conclusions if item not in settled]
-            await anyio.sleep(self._pause())
+            conclusions = self._conclusions[:MAX_CLAIMS_PER_TRANSACTION]
+            resolved = await self._write_conclusions(conclusions)
+            self._conclusions = [item for item in self._conclusions if item not in resolved]
+            await anyio.sleep(self._write_interval())
 
-    def _pause(self) -> float:
-        """Return the pause between two writes, longer in a larger fleet.
+    def _write_interval(self) -> float:
+        """Return the interval between two writes, which grows with the number of entries.
 
-        The store's rate does not grow with the fleet; what grows is the number of claims that
-        share a write.
+        The total write rate stays bounded in a larger fleet; each write carries more claims
+        instead.
         """
         entries = len(self._membership.members)
-        return max(self._timing.claim_interval, entries / FLEET_WRITES_PER_SECOND)
+        return max(self._timing.claim_interval, entries / MAX_FLEET_WRITES_PER_SECOND)
 
     async def _write_claims(self, batch: list[_PendingClaim]) -> None:
-        batch = self._drop_repeated(batch)
+        batch = self._postpone_duplicates(batch)
         transaction_keys = [item.key for item in batch]
         try:
             lease = await self._current_lease()
@@ -261,19 +266,19 @@
         except StoreError as error:
             self._count("claim", "unavailable")
             for item in batch:
-                item.settle(error)
+                item.resolve(error)
             return
         self._count("claim", "ok" if result.succeeded else "conflict")
         for item in batch:
             if result.succeeded:
-                item.settle(HeldClaim(item.key, item.claim, lease, result.revision))
+                item.resolve(HeldClaim(item.key, item.claim, lease, result.revision))
             elif item.key in result.values:
-                item.settle(self._adopt(result.values[item.key], item))
+                item.resolve(self._adopt(result.values[item.key], item))
             else:
                 self._pending.append(item)
 
-    def _drop_repeated(self, batch: list[_PendingClaim]) -> list[_PendingClaim]:
-        """Put off claims on a key that is already in the batch; a key is written once."""
+    def _postpone_duplicates(self, batch: list[_PendingClaim]) -> list[_PendingClaim]:
+        """Postpone claims on a key that is already in the batch; a batch writes each key once."""
         first: dict[str, _PendingClaim] = {}
         for item in batch:
             if item.key in first:
@@ -283,10 +288,11 @@
         return list(first.values())
 
     async def _read_back(self, batch: list[_PendingClaim], error: StoreError) -> None:
-        """Find out what became of claims whose answer was lost.
+        """Read claims back whose write was not answered.
 
-        A claim that the store shows under its token is ours. One that it does not show may
-        still be applied later; refusing is right either way, since nothing was sent.
+        A claim that is stored with its token was written by this entry. One that is not stored
+        may still be applied later. Its request is refused, which is correct in both cases since
+        nothing was sent to a backend server.
         """
         try:
             result = await self._store.transact(
@@ -301,27 +307,27 @@
             if found is None:
                 self._abandon(item, error)
             elif Claim.from_bytes(found.value).token == item.claim.token:
-                item.settle(HeldClaim(item.key, item.claim, self._lease, found.mod_revision))
+                item.resolve(HeldClaim(item.key, item.claim, self._lease, found.mod_revision))
             else:
-                item.settle(found)
+                item.resolve(found)
 
     def _adopt(self, found: KeyValue, item: _PendingClaim) -> HeldClaim | KeyValue:
-        """Take over a claim of this entry whose request was refused when its answer was lost."""
+        """Adopt an orphaned claim of this entry for a retry of the request that was refused."""
         adopted = self._orphans.adopt(found, item.claim.fingerprint)
         return HeldClaim(item.key, *adopted, found.mod_revision) if adopted else found
 
     def _abandon(self, item: _PendingClaim, error: StoreError) -> None:
-        """Refuse a request whose claim may yet be applied, and remember to free it."""
+        """Refuse a request whose claim may still be applied, and track the claim for deletion."""
         self._orphans.add(item.key, item.claim.token, self._lease, clock.read())
-        item.settle(error)
+        item.resolve(error)
 
     async def _write_conclusions(self, batch: list[_PendingConclusion]) -> list[_PendingConclusion]:
-        """Write how requests ended; return those that need no further try.
+        """Write the results of requests; return the conclusions that need no retry.
 
-        Each is written only over the very claim that it concludes. The store may have applied an
-        earlier try whose answer was lost, and another entry may have claimed a freed key since.
-        Written over that, a conclusion would remove the other's claim, and one more try of the
-        caller would run the request twice.
+        Each conclusion requires that the claim it concludes is unchanged. An earlier attempt may
+        have been applied although its answer was lost, and another entry may have claimed the
+        deleted key since. An unconditional write would remove that entry's claim, and the
+        caller's next retry would run the request twice.
         """
         keys = [item.held.key for item in batch]
         transaction = Transaction(
@@ -350,11 +356,11 @@
         ]
 
     async def _current_lease(self) -> int:
-        """Return a lease that outlives the acceptance of every key claimed under it now."""
+        """Return a lease that lasts longer than any key claimed under it now is accepted."""
         now = clock.read()
         retention = self._timing.claim_retention
         if now >= self._lease_until:
-            self._lease = await self._store.grant_lease(2 * retention + CLOCK_SKEW)
+            self._lease = await self._store.grant_lease(2 * retention + MAX_CLOCK_SKEW)
             self._lease_until = now + retention / 2
         return self._lease
 
--- a/vanillawell/coordination/dispatch.py
+++ b/vanillawell/coordination/dispatch.py
@@ -1,4 +1,4 @@
-"""Take accepted requests through queue, attempts and retries to one final outcome."""
+"""Dispatch accepted requests: queueing, attempts, retries and exactly one final outcome."""
 
 from __future__ import annotations
 
@@ -46,18 +46,18 @@
 
 log = logging.getLogger(__name__)
 
-TICK = 0.02
-"""Seconds between two looks at queues that wait for something other than an answer."""
+QUEUE_POLL_INTERVAL = 0.02
+"""Seconds between two checks of queues that wait for something other than an answer."""
 
-IDLE_TICK = 0.2
-"""The same while nothing waits or runs."""
+IDLE_POLL_INTERVAL = 0.2
+"""Seconds between two checks while nothing is queued or running."""
 
-REFRESH_INTERVAL = 0.05
-"""Seconds between two divisions of a pool's slots."""
+SLOT_REFRESH_INTERVAL = 0.05
+"""Seconds between two recalculations of how a pool's slots are divided."""
 
 
 class Dispatcher:
-    """Own the queues, charges and attempts of one entry."""
+    """Manage the queues, charges and attempts of one entry."""
 
     def __init__(
         self,
@@ -69,7 +69,7 @@
         source: str,
         zone: str,
         open_link: LinkOpener,
-        longest: float,
+        longest_request: float,
         experiment: ExperimentSettings,
     ) -> None:
         self._tasks = tasks
@@ -80,22 +80,22 @@
         self._source = source
         self._zone = zone
         self._open_link = open_link
-        self._longest = longest
+        self._longest_request = longest_request
         quota = experiment.routing == "quota"
         self._routing: RoutingPolicy = QuotaRouting() if quota else LeastLoadedRouting()
         self._fifo = experiment.queue == "fifo"
-        self._budgeted = experiment.retries == "budgeted"
+        self._retry_budgeted = experiment.retries == "budgeted"
         self._pools: dict[str, PoolRuntime] = {}
         self._shares: Mapping[str, float] = {}
         self._policy: Policy | None = None
         self._tickets: dict[Waiting, Ticket] = {}
         self._charges = ChargeBook()
-        self._watch = LinkMonitor(tasks, telemetry, self._hedge, self.pump)
-        self._owners: dict[Attempt, Ticket] = {}
+        self._link_monitor = LinkMonitor(tasks, telemetry, self._hedge, self.dispatch)
+        self._tickets_by_attempt: dict[Attempt, Ticket] = {}
 
     @property
     def charges(self) -> ChargeBook:
-        """Return the units of organisations' limits in use."""
+        """Return the units of organisations' limits that are in use."""
         return self._charges
 
     @property
@@ -105,12 +105,12 @@
 
     @property
     def unfinished(self) -> int:
-        """Count requests that wait or run, also those nobody waits for any more."""
+        """Return the number of queued and running requests, including those without a caller."""
         running = sum(pool.running() for pool in self._pools.values())
         return running + sum(len(pool.queue) for pool in self._pools.values())
 
     def configure(self, policy: Policy, entries: tuple[str, ...]) -> None:
-        """Take over a configuration and the fleet's entries."""
+        """Apply a configuration and the list of the fleet's entries."""
         self._policy = policy
         self._shares = {
             name: organisation.share for name, organisation in policy.organisations.items()
@@ -119,12 +119,12 @@
             if name not in self._pools:
                 self._pools[name] = PoolRuntime(pool, self._zone, self._source, self._open_link)
             self._pools[name].configure(pool, entries)
-        gone = [name for name in self._pools if name not in policy.pools]
-        for name in gone:
+        removed = [name for name in self._pools if name not in policy.pools]
+        for name in removed:
             self._refuse_all(self._pools.pop(name))
 
     def renew_connections(self) -> None:
-        """Send all further requests over new connections, for instance after a new certificate."""
+        """Send all further requests over new connections, such as after a certificate change."""
         for pool in self._pools.values():
             for link in pool.links.values():
                 self._tasks.start_soon(link.renew, clock.read())
@@ -133,7 +133,7 @@
         for item in list(pool.queue):
             pool.queue.remove(item)
             ticket = self._tickets.pop(item)
-            ticket.finish(Refusal(Reason.NO_SUCH_SERVICE, ticket.verdict_if_given_up))
+            ticket.finish(Refusal(Reason.NO_SUCH_SERVICE, ticket.verdict_if_aborted))
 
     def wanted(self, organisation: str) -> int:
         """Return the units of an organisation's limit that this entry could use now."""
@@ -141,7 +141,7 @@
         return self._charges.charged(organisation) + queued
 
     def submit(self, request: CheckedRequest, now: float) -> Ticket | Refusal:
-        """Accept a request into its queue, or refuse it at once."""
+        """Queue a request, or refuse it immediately."""
         pool = self._pools.get(request.pool)
         if (
             pool is None
@@ -159,12 +159,12 @@
         self._tickets[waiting] = ticket
         pool.queue.add(waiting)
         pool.budget.note_first_attempt()
-        self._limits.note_demand(request.organisation)
-        self.pump(pool, now)
+        self._limits.handle_demand_change(request.organisation)
+        self.dispatch(pool, now)
         return ticket
 
     def refuse_without_units(self, now: float) -> None:
-        """Refuse at once what waits for units that cannot be had while the store is away."""
+        """Refuse queued requests that wait for units which an unreachable store cannot grant."""
         for pool in self._pools.values():
             for item in [
                 item for item in pool.queue if not self._limits.usable(item.organisation, now)
@@ -173,39 +173,39 @@
                 if ticket is None or ticket.running or self._charges.charged(item.organisation):
                     continue
                 pool.queue.remove(item)
-                self._finish(ticket, self._admission.no_units(ticket.verdict_if_given_up))
+                self._finish(ticket, self._admission.no_units(ticket.verdict_if_aborted))
 
     def abort(self, ticket: Ticket, reason: Reason, now: float) -> Refusal:
-        """End a request early, for its deadline or because its caller left."""
+        """End a request early because its deadline passed or its caller disconnected."""
         pool = self._pools.get(ticket.request.pool)
         if pool and pool.queue.remove(ticket.waiting):
             self._tickets.pop(ticket.waiting, None)
-            self._limits.note_demand(ticket.request.organisation)
-        known = ticket.verdict_if_given_up
-        refusal = Refusal(reason, Verdict.MAY_HAVE_RUN if ticket.running else known)
+            self._limits.handle_demand_change(ticket.request.organisation)
+        verdict = ticket.verdict_if_aborted
+        refusal = Refusal(reason, Verdict.MAY_HAVE_RUN if ticket.running else verdict)
         ticket.finish(refusal)
         return refusal
 
     async def run(self) -> None:
-        """Look after queues and connections until cancelled."""
+        """Maintain queues and connections until cancelled."""
         while True:
-            await anyio.sleep(TICK if self.unfinished else IDLE_TICK)
+            await anyio.sleep(QUEUE_POLL_INTERVAL if self.unfinished else IDLE_POLL_INTERVAL)
             now = clock.read()
-            # An entry that reaches no peer any more hears nothing, and nothing else would tell it
-            # that their demand is gone: it would leave them slots and units for ever.
+            # An entry that is cut off from all peers receives no reports. Without expiry their last
+            # reported demand would keep slots and units reserved for them indefinitely.
             self._board.expire(now)
             for organisation in self._charges.release_due(now):
-                self._limits.note_demand(organisation)
+                self._limits.handle_demand_change(organisation)
             for pool in self._pools.values():
-                self._look_after(pool, now)
+                self._maintain(pool, now)
 
     def pressure(self) -> float:
-        """Return how much of its slots the most wanted pool has in demand now."""
+        """Return the highest ratio of demand to slots of any pool."""
         self._refresh_all()
         return max((pool.pressure for pool in self._pools.values()), default=0.0)
 
     def demand(self) -> dict[str, int]:
-        """Return the slots that the whole fleet's demand would fill, by pool."""
+        """Return the slots that the demand of the whole fleet would fill, by pool."""
         self._refresh_all()
         return {name: pool.wanted for name, pool in self._pools.items()}
 
@@ -214,42 +214,46 @@
         for pool in self._pools.values():
             pool.refresh(self._board, self._shares, now)
 
-    def _look_after(self, pool: PoolRuntime, now: float) -> None:
+    def _maintain(self, pool: PoolRuntime, now: float) -> None:
         if len(pool.queue) or pool.full:
-            self.pump(pool, now)
-        self._watch.look_at(pool, now)
+            self.dispatch(pool, now)
+        self._link_monitor.check(pool, now)
         for link in [item for item in pool.retired if not item.attempts]:
             pool.retired.remove(link)
             self._tasks.start_soon(link.close)
 
     def _hedge(self, pool: PoolRuntime, attempt: Attempt, executor: str) -> None:
-        """Send an overdue idempotent request a second time, once and within the budget."""
-        ticket = self._owners[attempt]
-        wanted = ticket.request.idempotent and ticket.outcome is None and not ticket.hedged
-        if not wanted or len(pool.links) < 2 or not pool.budget.take():
+        """Send an overdue idempotent request once more, if the retry budget allows it."""
+        ticket = self._tickets_by_attempt[attempt]
+        may_hedge = ticket.request.idempotent and ticket.outcome is None and not ticket.hedged
+        if not may_hedge or len(pool.links) < 2 or not pool.budget.take():
             return
         ticket.hedged = True
         ticket.waiting.tried.add(executor)
         self._telemetry.retries.inc({"pool": ticket.request.pool, "kind": "hedge"})
         pool.queue.add(ticket.waiting, front=True)
 
-    def pump(self, pool: PoolRuntime, now: float) -> None:
-        """Start what may start in a pool."""
-        if now - pool.refreshed > REFRESH_INTERVAL:
+    def dispatch(self, pool: PoolRuntime, now: float) -> None:
+        """Start the queued requests of a pool that may start now."""
+        if now - pool.refreshed_at > SLOT_REFRESH_INTERVAL:
             pool.refresh(self._board, self._shares, now)
 
         def may_start(organisation: str) -> bool:
             return self._charges.charged(organisation) < self._limits.usable(organisation, now)
 
-        def debt(item: Waiting) -> float:
-            return item.arrived if self._fifo else pool.debt(item.organisation, self._shares, now)
+        def sort_key(item: Waiting) -> float:
+            return (
+                item.arrived
+                if self._fifo
+                else pool.weighted_use(item.organisation, self._shares, now)
+            )
 
         while len(pool.queue):
-            item = pool.queue.pick(may_start, debt)
+            item = pool.queue.pick(may_start, sort_key)
             if item is None:
                 return
             if not self._admission.worth_starting(pool, item, now):
-                self._refuse_hopeless(pool, item)
+                self._end_cannot_finish(pool, item)
                 continue
             executor = self._routing.choose(pool.view(item.tried, now), pool.health, now)
             if executor is None:
@@ -257,26 +261,26 @@
                 return
             self._start(pool, item, executor, now)
 
-    def _refuse_hopeless(self, pool: PoolRuntime, item: Waiting) -> None:
-        """End a request that waited too long; a second attempt of one that runs is dropped."""
+    def _end_cannot_finish(self, pool: PoolRuntime, item: Waiting) -> None:
+        """End a request that cannot finish in time, unless an earlier attempt is still running."""
         ticket = self._tickets[item]
         if not ticket.running:
-            self._finish(ticket, self._admission.hopeless(pool, ticket))
+            self._finish(ticket, self._admission.cannot_finish(pool, ticket))
 
     def _start(self, pool: PoolRuntime, item: Waiting, executor: str, now: float) -> None:
         ticket = self._tickets[item]
         link = pool.links[executor]
         ticket.running += 1
         self._charges.charge(item.organisation)
-        pool.occupy(item.organisation, 1, now)
+        pool.adjust_slots_used(item.organisation, 1, now)
         pool.note_start(executor, now)
         attempt = Attempt(now, lambda: self._may_send(ticket))
-        self._owners[attempt] = ticket
+        self._tickets_by_attempt[attempt] = ticket
         link.attempts.add(attempt)
         self._tasks.start_soon(self._attempt, pool, ticket, link, attempt)
 
     def _may_send(self, ticket: Ticket) -> bool:
-        """Tell whether a request that was started may still go out now."""
+        """Return whether a request that was started may still be sent now."""
         now = clock.read()
         expired = ticket.outcome is not None or now >= ticket.request.deadline
         return not expired and self._limits.usable(ticket.request.organisation, now) > 0
@@ -284,46 +288,46 @@
     async def _attempt(
         self, pool: PoolRuntime, ticket: Ticket, link: BackendLink, attempt: Attempt
     ) -> None:
-        """Run one attempt and settle its charge by what is known at its end."""
+        """Run one attempt and release its charge according to its result."""
         error: AttemptError | None = None
         delivered: list[Answer] = []
         try:
             await link.exchange(
                 ticket.request.forward,
                 attempt,
-                self._longest,
+                self._longest_request,
                 delivered_to(ticket, delivered, pool, attempt),
             )
         except AttemptError as caught:
             error = caught
         except Exception:
-            # A fault of ours or of a library must not end the entry with all its requests; what
-            # became of this one is unknown.
+            # An unexpected error must not terminate the entry and all its requests. Whether the
+            # backend server ran this request is unknown.
             log.exception("attempt failed unexpectedly")
             error = AttemptError(Failure.NO_WHOLE_ANSWER, "unexpected error")
         await link.close_idle()
         now = clock.read()
-        del self._owners[attempt]
-        self._settle_charge(ticket, attempt, error, now)
-        pool.occupy(ticket.request.organisation, -1, now)
+        del self._tickets_by_attempt[attempt]
+        self._release_charge(ticket, attempt, error, now)
+        pool.adjust_slots_used(ticket.request.organisation, -1, now)
         self._conclude(pool, ticket, link.executor.name, error, delivered, now)
         self.dispatch_all(now)
 
-    def _settle_charge(
+    def _release_charge(
         self, ticket: Ticket, attempt: Attempt, error: AttemptError | None, now: float
     ) -> None:
         organisation = ticket.request.organisation
         if error is not None and error.failure is Failure.NO_WHOLE_ANSWER:
-            self._charges.release_later(organisation, attempt.started + self._longest)
+            self._charges.release_later(organisation, attempt.started + self._longest_request)
         else:
             self._charges.release(organisation)
-        self._limits.note_demand(organisation)
+        self._limits.handle_demand_change(organisation)
 
     def dispatch_all(self, now: float) -> None:
-        """Start what may start in any pool."""
+        """Start the queued requests of all pools that may start now."""
         for pool in self._pools.values():
             if len(pool.queue):
-                self.pump(pool, now)
+                self.dispatch(pool, now)
 
     def _conclude(
         self,
@@ -334,7 +338,7 @@
         delivered: list[Answer],
         now: float,
     ) -> None:
-        """Turn the end of an attempt into the outcome, or into another attempt."""
+        """Set the outcome of the request after an attempt, or start another attempt."""
         answer = delivered[0] if delivered else None
         failure = failure_of(error, answer)
         ticket.running -= 1
@@ -372,7 +376,7 @@
             failure, request.idempotent, len(ticket.waiting.tried), request.deadline - now
         )
         reachable = min(pool.policy.attempts, len(pool.links))
-        budget = pool.budget if self._budgeted else RetryBudget(0.0, bounded=False)
+        budget = pool.budget if self._retry_budgeted else RetryBudget(0.0, bounded=False)
         decision = decide(failed, reachable, budget)
         if decision is RetryDecision.GIVE_UP or request.pool not in self._pools:
             self._finish(ticket, self._admission.after_failure(ticket, failure))
@@ -382,7 +386,7 @@
         pool.queue.add(ticket.waiting, front=True)
 
     def _finish(self, ticket: Ticket, outcome: Answer | Refusal | None) -> None:
-        """Set the outcome and forget the request, also a second attempt of it that waits."""
+        """Set the outcome and remove the request, including a queued second attempt."""
         self._tickets.pop(ticket.waiting, None)
         pool = self._pools.get(ticket.request.pool)
         if pool:
--- a/vanillawell/coordination/ledger_copy.py
+++ b/vanillawell/coordination/ledger_copy.py
@@ -1,4 +1,4 @@
-"""Hold what one entry knows of one organisation's ledger."""
+"""Define an entry's local copy of the ledger of an organisation's limit."""
 
 from __future__ import annotations
 
@@ -8,38 +8,38 @@
 if TYPE_CHECKING:
     from vanillawell.state.limits import Ledger
 
-PEAK_SECONDS = 3.0
-"""Seconds that one half of the memory of recent peaks spans."""
+PEAK_WINDOW = 3.0
+"""Seconds of one measurement window of peak demand; the current and the previous one count."""
 
 
 @dataclass(slots=True)
 class LedgerCopy:
-    """What this entry knows of one organisation's ledger."""
+    """A local copy of one organisation's ledger, with this entry's bounds on its units."""
 
     ledger: Ledger
     revision: int
     read_at: float
-    cap: int | None = None
-    """Bound on units while a write that gives some away may still be applied."""
+    unconfirmed_bound: int | None = None
+    """Bound on usable units while a write that releases some may still be applied."""
 
-    fenced_at: int = 0
-    """Store revision that such a write compares with; once passed, it can no longer apply."""
+    fenced_revision: int = 0
+    """Revision that such a write compares with; once the ledger is newer, it cannot be applied."""
 
-    soft: int | None = None
-    """Bound while other entries' demand claims a part of what is held here."""
+    contention_bound: int | None = None
+    """Bound on usable units while other entries need some of the units held here."""
 
     usable: int = 0
-    peak: int = 0
-    last_peak: int = 0
+    current_peak: int = 0
+    previous_peak: int = 0
     peak_since: float = 0.0
 
     def note_wanted(self, wanted: int, now: float) -> None:
-        """Remember the largest demand of the last seconds."""
-        if now - self.peak_since > PEAK_SECONDS:
-            self.last_peak, self.peak, self.peak_since = self.peak, 0, now
-        self.peak = max(self.peak, wanted)
+        """Update the peak demand of the current window."""
+        if now - self.peak_since > PEAK_WINDOW:
+            self.previous_peak, self.current_peak, self.peak_since = self.current_peak, 0, now
+        self.current_peak = max(self.current_peak, wanted)
 
     @property
     def recent_peak(self) -> int:
-        """Return the largest demand of the last seconds."""
-        return max(self.peak, self.last_peak)
+        """Return the peak demand of the current and the previous window."""
+        return max(self.current_peak, self.previous_peak)
--- a/vanillawell/coordination/limit_manager.py
+++ b/vanillawell/coordination/limit_manager.py
@@ -1,10 +1,9 @@
-"""Hold this entry's part of every organisation's limit, by the ledgers in the store.
+"""Acquire and release this entry's units of organisations' limits, using ledgers in the store.
 
-The dangerous moments are writes whose answer is lost. A write that takes units counts only once
-confirmed. A write that gives units away may be applied at any time from when it is sent, even
-after a read that did not show it; so the entry stops using those units before it sends, and
-counts them as its own again only when a later state of the ledger proves that the write can no
-longer be applied.
+Writes whose answer is lost need care. A write that acquires units counts only once confirmed. A
+write that releases units may be applied at any time after it was sent, even after a read that does
+not show it. The entry therefore stops using those units before it sends the write, and uses them
+again only when a later revision of the ledger proves that the write can no longer be applied.
 """
 
 from __future__ import annotations
@@ -39,27 +38,27 @@
     from vanillawell.telemetry import Telemetry
 
 SCAN_INTERVAL = 1.0
-"""Seconds between two looks at all organisations; organisations whose demand changed are looked at
-at once."""
+"""Seconds between two checks of all organisations; those whose demand changed are checked
+immediately."""
 
-ORGANISATIONS_PER_WRITE = 40
-"""Ledgers changed in one transaction; etcd allows 128 operations, and each takes three."""
+MAX_LEDGERS_PER_TRANSACTION = 40
+"""Maximum ledgers in one transaction; etcd allows 128 operations, and each ledger takes three."""
 
-FLEET_SETTLEMENTS_PER_SECOND = 150.0
-"""Settlements a second that all entries together make at most, whatever the fleet's size."""
+MAX_FLEET_RECONCILIATIONS_PER_SECOND = 150.0
+"""Maximum reconciliations per second, summed over all entries of the fleet."""
 
-LONGEST_BACKOFF = 2.0
-"""Seconds between two tries at a store that is down."""
+MAX_BACKOFF = 2.0
+"""Maximum seconds between two attempts to reach a store that is down."""
 
-SOFT_STEP = 0.25
-"""Part of what is held that is left to other entries in one step."""
+RELEASE_STEP = 0.25
+"""Fraction of the held units that is released to other entries in one step."""
 
-STALE_AFTER = 0.5
-"""Seconds after which a copy that shows no free units is read anew while units are lacking."""
+COPY_MAX_AGE = 0.5
+"""Seconds after which a ledger copy is read again while this entry lacks units."""
 
 
 class LimitManager:
-    """Own this entry's limit units."""
+    """Manage this entry's limit units."""
 
     def __init__(
         self,
@@ -83,16 +82,16 @@
         self._organisations: dict[str, OrganisationPolicy] = {}
         self._dirty: set[str] = set()
         self._wake = anyio.Event()
-        self._scanned = 0.0
+        self._scanned_at = 0.0
         self._reachable = True
-        """Whether the last call reached the store. Taken for granted before the first: an entry
-        that has just started would else refuse its first callers and blame a store that answers."""
+        """Whether the last call reached the store. Initially true: otherwise an entry that has just
+        started would refuse its first requests as if the store were unreachable."""
 
         self._stopping = False
         self._wanted: Callable[[str], int] = lambda organisation: 0
         self._charged: Callable[[str], int] = lambda organisation: 0
-        self._granted: Callable[[], None] = lambda: None
-        self._lost: Callable[[], None] = lambda: None
+        self._on_granted: Callable[[], None] = lambda: None
+        self._on_store_lost: Callable[[], None] = lambda: None
 
     @property
     def _holder(self) -> str:
@@ -102,17 +101,17 @@
         self,
         wanted: Callable[[str], int],
         charged: Callable[[str], int],
-        granted: Callable[[], None],
-        lost: Callable[[], None],
+        on_granted: Callable[[], None],
+        on_store_lost: Callable[[], None],
     ) -> None:
-        """Say where demand is read, and who hears of new units and of a lost store."""
-        self._lost = lost
+        """Set the sources of demand and the callbacks for new units and for loss of the store."""
+        self._on_store_lost = on_store_lost
         self._wanted = wanted
         self._charged = charged
-        self._granted = granted
+        self._on_granted = on_granted
 
     def configure(self, policy: Policy) -> None:
-        """Take over a configuration."""
+        """Apply a configuration."""
         self._organisations = dict(policy.organisations)
         for organisation in self._organisations:
             self._copies.setdefault(organisation, LedgerCopy(Ledger(), -1, 0.0))
@@ -123,23 +122,23 @@
     def usable(self, organisation: str, now: float) -> int:
         """Return the units of the organisation's limit that this entry may use now.
 
-        The term is checked on every use: a process that was paused past it wakes without
-        knowing, and others may have been given its units meanwhile.
+        The term is checked on every call: a process that was paused beyond its term is not
+        notified, and its units may have been given to other entries in the meantime.
         """
         if now >= self._membership.valid_until or organisation not in self._organisations:
             return 0
         return self._copies[organisation].usable
 
     def can_acquire(self) -> bool:
-        """Tell whether units can be had from the store now."""
+        """Return whether units can be acquired from the store now."""
         return self._reachable
 
     def held(self, organisation: str) -> int:
         """Return the units that the ledger shows for this entry."""
         return self._copies[organisation].ledger.holders.get(self._holder, 0)
 
-    def note_demand(self, organisation: str) -> None:
-        """Note that the organisation's demand here has changed."""
+    def handle_demand_change(self, organisation: str) -> None:
+        """Handle a change of the organisation's demand on this entry."""
         copy = self._copies.get(organisation)
         if copy is None:
             return
@@ -150,79 +149,83 @@
             self._wake.set()
 
     def note_reports(self, organisations: Iterable[str]) -> None:
-        """Note that other entries reported new demand of these organisations."""
+        """Handle reports of other entries with new demand of these organisations."""
         self._dirty.update(organisations)
         self._wake.set()
 
     async def run(self) -> None:
-        """Keep the ledgers in step with demand until cancelled."""
+        """Reconcile the ledgers with demand until cancelled."""
         failures = 0
         while True:
             with anyio.move_on_after(SCAN_INTERVAL):
                 await self._wake.wait()
             self._wake = anyio.Event()
             try:
-                await self.settle()
+                await self.reconcile()
                 self._reachable = True
                 failures = 0
             except StoreError:
-                self._lose_store()
+                self._handle_store_loss()
                 self._dirty.update(self._organisations)
                 failures += 1
                 await anyio.sleep(self._backoff(failures))
-            await anyio.sleep(self._pause() * self._rng.uniform(0.5, 1.0))
+            await anyio.sleep(self._reconcile_interval() * self._rng.uniform(0.5, 1.0))
 
-    def _pause(self) -> float:
-        """Return the pause between two settlements, longer in a larger fleet."""
+    def _reconcile_interval(self) -> float:
+        """Return the interval between reconciliations, which grows with the number of entries."""
         entries = len(self._membership.members)
-        return max(self._timing.ledger_interval, entries / FLEET_SETTLEMENTS_PER_SECOND)
+        return max(self._timing.ledger_interval, entries / MAX_FLEET_RECONCILIATIONS_PER_SECOND)
 
     def _backoff(self, failures: int) -> float:
-        """Return a growing, scattered pause, so that a store in trouble is not pressed harder."""
-        longest = min(LONGEST_BACKOFF, self._timing.ledger_interval * 2.0**failures)
-        return longest * self._rng.uniform(0.5, 1.0)
+        """Return a retry delay with exponential backoff and jitter, to limit load on the store."""
+        max_delay = min(MAX_BACKOFF, self._timing.ledger_interval * 2.0**failures)
+        return max_delay * self._rng.uniform(0.5, 1.0)
 
-    def _lose_store(self) -> None:
-        """Use all that is held while the store is away, since nothing can move."""
+    def _handle_store_loss(self) -> None:
+        """Use all held units while the store is unreachable, since none can be transferred."""
         self._reachable = False
         for organisation in self._organisations:
-            self._copies[organisation].soft = None
+            self._copies[organisation].contention_bound = None
             self._recompute(organisation)
-        self._lost()
+        self._on_store_lost()
 
-    async def settle(self) -> None:
-        """Write what this entry wants changed in any ledger."""
+    async def reconcile(self) -> None:
+        """Write the changes that this entry needs in ledgers with changed demand."""
         now = clock.read()
-        if now - self._scanned >= SCAN_INTERVAL:
+        if now - self._scanned_at >= SCAN_INTERVAL:
             self._dirty.update(self._organisations)
-            self._scanned = now
+            self._scanned_at = now
         organisations = sorted(
             organisation for organisation in self._dirty if organisation in self._organisations
         )
         self._dirty.clear()
-        for start in range(0, len(organisations), ORGANISATIONS_PER_WRITE):
-            await self._settle_batch(organisations[start : start + ORGANISATIONS_PER_WRITE], now)
+        for start in range(0, len(organisations), MAX_LEDGERS_PER_TRANSACTION):
+            await self._reconcile_batch(
+                organisations[start : start + MAX_LEDGERS_PER_TRANSACTION], now
+            )
 
     async def release_all(self) -> None:
-        """Return all units before a planned stop, when nothing of this entry runs any more."""
+        """Release all units before a planned stop, once no request runs on this entry."""
         self._stopping = True
-        await self.settle_all()
+        await self.reconcile_all()
 
-    async def settle_all(self) -> None:
-        """Settle every organisation now."""
+    async def reconcile_all(self) -> None:
+        """Reconcile the ledgers of all organisations now."""
         self._dirty.update(self._organisations)
-        await self.settle()
+        await self.reconcile()
 
-    async def _settle_batch(self, organisations: list[str], now: float) -> None:
+    async def _reconcile_batch(self, organisations: list[str], now: float) -> None:
         await self._read(
             [organisation for organisation in organisations if self._must_read(organisation, now)]
         )
         plans = self._plans(organisations, now)
-        giving = [
-            organisation for organisation in plans if self._gives(organisation, plans[organisation])
+        releasing = [
+            organisation
+            for organisation in plans
+            if self._releases_units(organisation, plans[organisation])
         ]
-        if giving:
-            await self._read(giving)
+        if releasing:
+            await self._read(releasing)
             plans = self._plans(organisations, now)
         if plans:
             await self._write(plans)
@@ -234,23 +237,23 @@
             if (plan := self._plan(organisation, now)) is not None
         }
 
-    def _gives(self, organisation: str, plan: Ledger) -> bool:
-        """Tell whether a write gives units away; the store is then asked for a sign of life.
+    def _releases_units(self, organisation: str, plan: Ledger) -> bool:
+        """Return whether a write releases units; the ledger is then read again before it.
 
-        In an outage every entry's next giving write would be left uncertain, and its units
-        unused until the store is back. A read that fails first keeps them in use.
+        In an outage the outcome of every entry's next releasing write would be unknown, and the
+        units would be unused until the store recovers. If a read fails first, they stay in use.
         """
         return plan.holders.get(self._holder, 0) < self.held(organisation)
 
     def _must_read(self, organisation: str, now: float) -> bool:
         copy = self._copies[organisation]
-        if copy.revision < 0 or copy.cap is not None:
+        if copy.revision < 0 or copy.unconfirmed_bound is not None:
             return True
         lacking = (
             max(self._wanted(organisation), self._organisation_limit(organisation).even_part)
             > copy.usable
         )
-        return lacking and now - copy.read_at > STALE_AFTER
+        return lacking and now - copy.read_at > COPY_MAX_AGE
 
     async def _read(self, organisations: list[str]) -> None:
         if not organisations:
@@ -258,35 +261,35 @@
         keys = [self._keys.ledger(organisation) for organisation in organisations]
         result = await self._store.transact(Transaction(reads=keys, read_back=True))
         self._telemetry.store_calls.inc({"task": "ledger-read", "result": "ok"})
-        self._take_over(organisations, result.values, clock.read())
+        self._apply_ledgers(organisations, result.values, clock.read())
 
-    def _take_over(
+    def _apply_ledgers(
         self, organisations: Iterable[str], values: dict[str, KeyValue], now: float
     ) -> None:
         for organisation in organisations:
             copy = self._copies[organisation]
-            found = values.get(self._keys.ledger(organisation))
-            copy.ledger = Ledger.from_bytes(found.value) if found else Ledger()
-            copy.revision = found.mod_revision if found else 0
+            stored = values.get(self._keys.ledger(organisation))
+            copy.ledger = Ledger.from_bytes(stored.value) if stored else Ledger()
+            copy.revision = stored.mod_revision if stored else 0
             copy.read_at = now
-            if copy.revision > copy.fenced_at:
-                copy.cap = None
+            if copy.revision > copy.fenced_revision:
+                copy.unconfirmed_bound = None
             self._recompute(organisation)
-        self._granted()
+        self._on_granted()
 
     def _plan(self, organisation: str, now: float) -> Ledger | None:
         copy = self._copies[organisation]
-        ended = self._membership.ended(copy.ledger.holders) - {self._holder}
+        terminated = self._membership.ended(copy.ledger.holders) - {self._holder}
         copy.note_wanted(self._wanted(organisation), now)
         if self._stopping:
             planned = copy.ledger.with_units(self._holder, 0)
             return None if planned == copy.ledger else planned
         demand = self._demand(organisation)
-        self._set_soft_bound(organisation, demand)
+        self._set_contention_bound(organisation, demand)
         plan = plan_ledger(
-            copy.ledger, self._holder, self._organisation_limit(organisation), demand, ended
+            copy.ledger, self._holder, self._organisation_limit(organisation), demand, terminated
         )
-        if plan is None and copy.cap is not None:
+        if plan is None and copy.unconfirmed_bound is not None:
             return copy.ledger
         return plan
 
@@ -315,7 +318,9 @@
             reads=list(keys.values()),
             read_back=True,
         )
-        caps_before = {organisation: self._copies[organisation].cap for organisation in plans}
+        bounds_before = {
+            organisation: self._copies[organisation].unconfirmed_bound for organisation in plans
+        }
         self._stop_using(plans)
         try:
             result = await self._store.transact(transaction)
@@ -323,33 +328,37 @@
             self._telemetry.store_calls.inc({"task": "ledger-write", "result": "unknown"})
             raise
         except StoreError:
-            self._restore_caps(caps_before)
+            self._restore_bounds(bounds_before)
             raise
         outcome = "ok" if result.succeeded else "conflict"
         self._telemetry.store_calls.inc({"task": "ledger-write", "result": outcome})
-        self._take_over(plans, result.values, clock.read())
+        self._apply_ledgers(plans, result.values, clock.read())
         if not result.succeeded:
             self._dirty.update(plans)
             self._wake.set()
 
     def _stop_using(self, plans: dict[str, Ledger]) -> None:
-        """Stop using units that a write gives away, before it is sent."""
+        """Stop using the units that a write releases, before it is sent."""
         for organisation, plan in plans.items():
             copy = self._copies[organisation]
             units = plan.holders.get(self._holder, 0)
-            if copy.cap is not None or units < copy.ledger.holders.get(self._holder, 0):
-                copy.cap = units if copy.cap is None else min(units, copy.cap)
-                copy.fenced_at = copy.revision
+            if copy.unconfirmed_bound is not None or units < copy.ledger.holders.get(
+                self._holder, 0
+            ):
+                copy.unconfirmed_bound = (
+                    units if copy.unconfirmed_bound is None else min(units, copy.unconfirmed_bound)
+                )
+                copy.fenced_revision = copy.revision
                 self._recompute(organisation)
 
-    def _restore_caps(self, caps: dict[str, int | None]) -> None:
-        """Undo `_stop_using` for a write that certainly never reached the store."""
-        for organisation, cap in caps.items():
-            self._copies[organisation].cap = cap
+    def _restore_bounds(self, bounds_by_organisation: dict[str, int | None]) -> None:
+        """Undo `_stop_using` for a write that certainly did not reach the store."""
+        for organisation, unconfirmed_bound in bounds_by_organisation.items():
+            self._copies[organisation].unconfirmed_bound = unconfirmed_bound
             self._recompute(organisation)
 
     def _recompute_all(self) -> None:
-        """Follow a change of members, which may be this entry's own loss of its holder name."""
+        """Recompute usable units after a change of members or of this entry's own holder name."""
         for organisation in self._organisations:
             self._recompute(organisation)
 
@@ -357,21 +366,23 @@
         copy = self._copies[organisation]
         changes = self._organisations[organisation].limit_changes
         units = usable_units(copy.ledger, self._holder, changes)
-        bounds = [bound for bound in (copy.cap, copy.soft) if bound is not None]
+        bounds = [
+            bound for bound in (copy.unconfirmed_bound, copy.contention_bound) if bound is not None
+        ]
         copy.usable = min([units, *bounds])
         self._telemetry.held.set({"organisation": organisation}, units)
 
-    def _set_soft_bound(self, organisation: str, demand: Demand) -> None:
-        """Leave units to other entries step by step while the fleet wants more than the limit.
+    def _set_contention_bound(self, organisation: str, demand: Demand) -> None:
+        """Release units step by step while the fleet's demand exceeds the limit.
 
-        Without this an entry whose queue is never empty would hold its units for ever, and the
-        same organisation's callers in another zone would wait until their deadlines.
+        Otherwise an entry whose queue is never empty would keep its units indefinitely, and callers
+        of the same organisation in another zone would wait until their deadlines.
         """
         copy = self._copies[organisation]
         limit = self._organisation_limit(organisation)
         held = self.held(organisation)
-        least = least_units(limit, demand)
+        minimum = least_units(limit, demand)
         contended = demand.wanted + demand.elsewhere > limit.current.limit
-        step = max(1, int(held * SOFT_STEP))
-        copy.soft = max(least, held - step) if contended and self._reachable else None
+        step = max(1, int(held * RELEASE_STEP))
+        copy.contention_bound = max(minimum, held - step) if contended and self._reachable else None
         self._recompute(organisation)
--- a/vanillawell/coordination/link_monitor.py
+++ b/vanillawell/coordination/link_monitor.py
@@ -1,4 +1,4 @@
-"""Find connections to executors that have gone silent, and move to new ones."""
+"""Detect unresponsive connections to executors and replace them."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
 
 
 class LinkMonitor:
-    """Own the probes of one entry, one at a time for each executor."""
+    """Probe executors with overdue answers, one probe at a time for each executor."""
 
     def __init__(
         self,
         tasks: TaskGroup,
         telemetry: Telemetry,
         hedge: Callable[[PoolRuntime, Attempt, str], None],
-        pump: Callable[[PoolRuntime, float], None],
+        dispatch: Callable[[PoolRuntime, float], None],
     ) -> None:
         self._tasks = tasks
         self._telemetry = telemetry
         self._hedge = hedge
-        self._pump = pump
+        self._dispatch = dispatch
         self._probing: set[str] = set()
 
-    def look_at(self, pool: PoolRuntime, now: float) -> None:
+    def check(self, pool: PoolRuntime, now: float) -> None:
         """Probe every executor of a pool that has an overdue answer."""
         for name, link in pool.links.items():
             if name not in self._probing and self._overdue(pool, link, now):
@@ -43,14 +43,14 @@
         return any(_is_overdue(item, bound, now) for item in link.attempts)
 
     async def _probe(self, pool: PoolRuntime, link: BackendLink) -> None:
-        """Tell silence from slowness, and move to new connections if those work.
+        """Probe an executor over a new connection, and replace old connections if that works.
 
-        An overdue answer may be slow or its connection silent; nothing reports a silent one.
-        A probe on a new connection that succeeds says that new ones work, so none of the old
-        ones is used again, nor those to the pool's other executors, since what lost track of one
-        path has often lost track of its neighbours. What is overdue is not cut, since it may
-        just be slow; an idempotent request is sent once more elsewhere, and the first answer
-        counts.
+        An answer may be overdue because the executor is slow or because a device on the path
+        dropped the connection's state, which no error reports. A successful probe shows that new
+        connections work, so the old ones are not used again. This includes those to the pool's
+        other executors, since such a device usually drops the state of many connections at once.
+        Overdue attempts are not cancelled, since they may only be slow; idempotent requests are
+        hedged to another executor, and the first answer is used.
         """
         name = link.executor.name
         try:
@@ -66,11 +66,11 @@
             for item in [item for item in link.attempts if _is_overdue(item, bound, now)]:
                 item.looked_into = True
                 self._hedge(pool, item, name)
-            self._pump(pool, now)
+            self._dispatch(pool, now)
         finally:
             self._probing.discard(name)
 
 
 def _is_overdue(attempt: Attempt, bound: float, now: float) -> bool:
-    waits = not attempt.head_arrived and not attempt.looked_into
-    return waits and now - attempt.started > bound
+    is_waiting = not attempt.head_arrived and not attempt.looked_into
+    return is_waiting and now - attempt.started > bound
--- a/vanillawell/coordination/orphan_claims.py
+++ b/vanillawell/coordination/orphan_claims.py
@@ -1,8 +1,9 @@
-"""Find claims that took effect although their requests were refused as not run.
+"""Clean up claims that were applied although their requests were refused as not run.
 
-A claim whose write got no answer, and could not be read back, may still be applied later. Left
-alone it would say "in progress" to every later try of the caller until its key is too old, and
-the stamp would be lost. So its entry deletes it, or takes it over when the caller tries again.
+A claim whose write was not answered, and which could not be read back, may still be applied later.
+If it stayed, every retry of the caller would be refused as in progress until the key expires, and
+the request would never run. The entry that wrote the claim therefore deletes it, or adopts it when
+the caller retries.
 """
 
 from __future__ import annotations
@@ -20,11 +21,11 @@
 if TYPE_CHECKING:
     from vanillawell.protocol.store import KeyValue, Store
 
-ORPHAN_SECONDS = 60.0
-"""Seconds within which a claim of uncertain outcome may still be applied by the store."""
+ORPHAN_RETENTION = 60.0
+"""Seconds within which the store may still apply a claim whose write was not answered."""
 
-ORPHAN_INTERVAL = 0.5
-"""Seconds between two searches for such claims."""
+ORPHAN_POLL_INTERVAL = 0.5
+"""Seconds between two checks for such claims in the store."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,32 +34,32 @@
 
     token: str
     lease: int
-    until: float
-    doomed: bool = False
-    """Its deletion has been sent."""
+    expires_at: float
+    deletion_sent: bool = False
+    """Whether a deletion of this claim has been sent."""
 
 
 class OrphanClaims:
-    """Own the claims of one entry whose outcome is uncertain."""
+    """Track the claims of one entry whose write has an unknown outcome."""
 
     def __init__(self, store: Store) -> None:
         self._store = store
         self._orphans: dict[str, Orphan] = {}
 
     def add(self, key: str, token: str, lease: int, now: float) -> None:
-        """Remember a claim that may yet be applied."""
-        self._orphans[key] = Orphan(token, lease, now + ORPHAN_SECONDS)
+        """Track a claim that may still be applied."""
+        self._orphans[key] = Orphan(token, lease, now + ORPHAN_RETENTION)
 
     def adopt(self, found: KeyValue, fingerprint: str) -> tuple[Claim, int] | None:
-        """Take over a claim for a new try of its request; return it with its lease.
+        """Adopt a claim for a retry of its request; return it with its lease.
 
-        None if the claim is not one of these, belongs to another request, or is being deleted:
-        a deletion on its way would remove the claim while the request runs under it, and one
-        more try would run it twice.
+        Return None if the claim is not tracked here, belongs to another request, or is being
+        deleted. A deletion in flight would remove the claim while the request runs under it, and
+        another retry would then run it a second time.
         """
         claim = Claim.from_bytes(found.value)
         orphan = self._orphans.get(found.key)
-        if orphan is None or orphan.doomed or orphan.token != claim.token:
+        if orphan is None or orphan.deletion_sent or orphan.token != claim.token:
             return None
         if claim.fingerprint != fingerprint:
             return None
@@ -66,27 +67,27 @@
         return claim, orphan.lease
 
     async def run(self) -> None:
-        """Delete such claims wherever they appear, until cancelled."""
+        """Delete tracked claims once they appear in the store, until cancelled."""
         while True:
-            await anyio.sleep(ORPHAN_INTERVAL)
-            await self.free_all(clock.read())
+            await anyio.sleep(ORPHAN_POLL_INTERVAL)
+            await self.delete_applied(clock.read())
 
-    async def free_all(self, now: float) -> None:
-        """Look once for each claim, and forget those that can no longer be applied."""
-        self._orphans = {key: item for key, item in self._orphans.items() if item.until > now}
+    async def delete_applied(self, now: float) -> None:
+        """Check each tracked claim once, and drop those that can no longer be applied."""
+        self._orphans = {key: item for key, item in self._orphans.items() if item.expires_at > now}
         for key in list(self._orphans):
             try:
-                await self._free(key)
+                await self._delete_if_applied(key)
             except StoreError:
                 return
 
-    async def _free(self, key: str) -> None:
+    async def _delete_if_applied(self, key: str) -> None:
         found = await self._store.get(key)
         orphan = self._orphans.get(key)
         if found is None or orphan is None:
             return
         if Claim.from_bytes(found.value).token == orphan.token:
-            self._orphans[key] = replace(orphan, doomed=True)
+            self._orphans[key] = replace(orphan, deletion_sent=True)
             compare = Compare(key, found.mod_revision)
             await self._store.transact(Transaction(compares=[compare], deletes=[key]))
         self._orphans.pop(key, None)
--- a/vanillawell/coordination/pool_runtime.py
+++ b/vanillawell/coordination/pool_runtime.py
@@ -1,4 +1,4 @@
-"""Hold what one entry knows and does for one pool."""
+"""Hold an entry's runtime state of one pool."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
     from vanillawell.state.board import DemandBoard
     from vanillawell.state.policy import PoolPolicy
 
-EXCEED_INTERVAL = 0.05
-"""Seconds between two attempts beyond an entry's own slots of a full pool."""
+EXCESS_ATTEMPT_INTERVAL = 0.05
+"""Minimum seconds between two attempts beyond an entry's own slots of a full pool."""
 
-LEAST_DEMAND = 0.05
-"""Slot-seconds below which an organisation's past use of a pool is no longer reported."""
+MIN_REPORTED_USE = 0.05
+"""Slot-seconds up to which an organisation's past use of a pool is not reported."""
 
 
 class PoolRuntime:
-    """Queue, executors and measurements of one pool in this entry."""
+    """Queue, connections to executors and statistics of one pool in this entry."""
 
     def __init__(self, policy: PoolPolicy, zone: str, source: str, open_link: LinkOpener) -> None:
         self.policy = policy
@@ -42,7 +42,7 @@
         self.service_time = ServiceTime()
         self.links: dict[str, BackendLink] = {}
         self.retired: list[BackendLink] = []
-        self.refreshed = 0.0
+        self.refreshed_at = 0.0
         self._zone = zone
         self._open_link = open_link
         self._source = source
@@ -54,59 +54,59 @@
         self._pressure = 0.0
         self._wanted = 0
         self._exceeded_at = 0.0
-        self._most_running = 1
+        self._max_running = 1
 
     @property
     def full(self) -> bool:
-        """Tell whether the fleet wants more of this pool than it holds."""
+        """Return whether the fleet's demand for this pool exceeds its slots."""
         return self._full
 
     @property
     def pressure(self) -> float:
-        """Return the fleet's demand as a part of the pool's slots."""
+        """Return the ratio of the fleet's demand to the pool's slots."""
         return self._pressure
 
     @property
     def wanted(self) -> int:
-        """Return the slots that the whole fleet's demand would fill, as last reported."""
+        """Return the slots that the demand of the whole fleet would fill, as last reported."""
         return self._wanted
 
     def configure(self, policy: PoolPolicy, entries: tuple[str, ...]) -> None:
-        """Take over a policy and the fleet's entries; links that leave finish what they run."""
+        """Apply a policy and the list of entries; removed links finish their running attempts."""
         self.policy = policy
-        self._most_running = connection_bound(policy.connections, len(entries))
+        self._max_running = connection_bound(policy.connections, len(entries))
         names = tuple(executor.name for executor in policy.executors)
-        mine = set(subset(names, entries, self._source, policy.connections))
-        wanted = {item.name: item for item in policy.executors if item.name in mine}
-        gone = [name for name, link in self.links.items() if wanted.get(name) != link.executor]
-        self.retired.extend(self.links.pop(name) for name in gone)
+        own_names = set(subset(names, entries, self._source, policy.connections))
+        wanted = {item.name: item for item in policy.executors if item.name in own_names}
+        removed = [name for name, link in self.links.items() if wanted.get(name) != link.executor]
+        self.retired.extend(self.links.pop(name) for name in removed)
         for name, executor in wanted.items():
             if name not in self.links:
-                self.links[name] = self._open_link(executor, self._most_running)
+                self.links[name] = self._open_link(executor, self._max_running)
         self.health.keep(set(wanted))
 
     def running(self) -> int:
-        """Return the attempts under way in this pool."""
+        """Return the number of attempts in progress in this pool."""
         return sum(use.running for use in self._uses.values())
 
     def running_at(self, executor: str) -> int:
-        """Return the attempts under way at one executor."""
+        """Return the number of attempts in progress at one executor."""
         links = (*self.links.values(), *self.retired)
         return sum(len(link.attempts) for link in links if link.executor.name == executor)
 
-    def occupy(self, organisation: str, delta: int, now: float) -> None:
-        """Note that `delta` slots were taken or, if negative, freed by an organisation."""
+    def adjust_slots_used(self, organisation: str, delta: int, now: float) -> None:
+        """Add `delta` to the slots that an organisation uses; a negative value frees slots."""
         self._uses.setdefault(organisation, SlotUse(now)).change(delta, now)
 
     def own_demand(self) -> dict[str, int]:
-        """Return the requests running or queued here by organisation."""
+        """Return the number of running and queued requests of each organisation."""
         running = {
             organisation: use.running for organisation, use in self._uses.items() if use.running
         }
         return dict(Counter(running) + Counter(self.queue.lengths()))
 
     def own_rows(self, now: float) -> list[tuple[str, int, float]]:
-        """Return organisation, demand and slot-seconds of each organisation seen lately."""
+        """Return organisation, demand and slot-seconds of each organisation with recent use."""
         demand = self.own_demand()
         rows = [
             (organisation, demand.get(organisation, 0), use.used(now))
@@ -117,13 +117,13 @@
             for organisation, count in demand.items()
             if organisation not in self._uses
         ]
-        return [row for row in (*rows, *waiting) if row[1] or row[2] > LEAST_DEMAND]
+        return [row for row in (*rows, *waiting) if row[1] or row[2] > MIN_REPORTED_USE]
 
     def refresh(self, board: DemandBoard, shares: Mapping[str, float], now: float) -> None:
-        """Divide the pool's slots anew from the latest reports."""
-        self.refreshed = now
+        """Recalculate the division of the pool's slots from the latest reports."""
+        self.refreshed_at = now
         demand = board.pool_demand(self.policy.name, self._source, self.own_demand())
-        demand = _known_organisations(demand, shares)
+        demand = _drop_unknown_organisations(demand, shares)
         names = tuple(name for name in self.links if not self.health.of(name).ejected(now))
         total = len(names) * self.policy.slots
         self._others_used = board.slots_used(self.policy.name)
@@ -138,8 +138,8 @@
         self._quotas = executor_quotas(parts, names, self.policy.slots, self._source)
 
     def view(self, avoid: Set[str], now: float) -> RoutingView:
-        """Return what routing needs to place an attempt."""
-        may_exceed = now - self._exceeded_at > EXCEED_INTERVAL
+        """Return the input that routing needs to choose an executor."""
+        may_exceed = now - self._exceeded_at > EXCESS_ATTEMPT_INTERVAL
         candidates = tuple(
             Candidate(name, link.executor.zone, len(link.attempts))
             for name, link in self.links.items()
@@ -149,32 +149,32 @@
             self._quotas,
             self._full,
             may_exceed,
-            self._most_running,
+            self._max_running,
             self._zone,
             avoid,
         )
 
     def note_start(self, executor: str, now: float) -> None:
-        """Note an attempt, which may be one beyond this entry's own slots."""
+        """Record the start of an attempt, and whether it exceeds this entry's own slots."""
         self.health.note_start(executor, now)
         if self._full and self.running_at(executor) >= self._quotas.get(executor, 0):
             self._exceeded_at = now
 
-    def debt(self, organisation: str, shares: Mapping[str, float], now: float) -> float:
-        """Return the fleet's slot use of an organisation over its share."""
+    def weighted_use(self, organisation: str, shares: Mapping[str, float], now: float) -> float:
+        """Return the fleet's slot use by an organisation, divided by its share."""
         use = self._uses.get(organisation)
         used = self._others_used[organisation] + (use.used(now) if use else 0.0)
         return used / shares.get(organisation, 1.0)
 
     def slots_of(self, organisation: str) -> float:
-        """Return the slots an organisation gets here while its queue drains."""
+        """Return the slots available to an organisation on this entry."""
         if self._full:
             return self._targets.get(organisation, 0.0)
         return float(len(self.links) * self.policy.slots)
 
 
-def _known_organisations(demand: PoolDemand, shares: Mapping[str, float]) -> PoolDemand:
-    """Leave out organisations that this entry's configuration does not have (yet, or any more)."""
+def _drop_unknown_organisations(demand: PoolDemand, shares: Mapping[str, float]) -> PoolDemand:
+    """Drop organisations that are not in this entry's configuration (not yet, or no longer)."""
     return PoolDemand(
         {
             source: {
--- a/vanillawell/coordination/static_limits.py
+++ b/vanillawell/coordination/static_limits.py
@@ -1,4 +1,4 @@
-"""Divide limits evenly between entries for good, as a baseline to measure against."""
+"""Divide limits evenly and statically between entries, as a baseline for measurements."""
 
 from __future__ import annotations
 
@@ -10,27 +10,27 @@
 
 
 class StaticLimits:
-    """Give each entry an even part of each limit for good: the plain baseline."""
+    """Give each entry a fixed, even part of each limit."""
 
     def __init__(self, membership: Membership) -> None:
         self._membership = membership
         self._limits: dict[str, int] = {}
 
     def configure(self, policy: Policy) -> None:
-        """Take over a configuration."""
+        """Apply a configuration."""
         self._limits = {
             name: organisation.limit for name, organisation in policy.organisations.items()
         }
 
     def usable(self, organisation: str, now: float) -> int:
-        """Return this entry's part, the remainder going to the first ones by name."""
+        """Return this entry's part; the remainder goes to the first entries by name."""
         entries = sorted(self._membership.members)
         part, rest = divmod(self._limits.get(organisation, 0), len(entries))
         return part + (entries.index(self._membership.me.instance) < rest)
 
-    def note_demand(self, organisation: str) -> None:
-        """Take no notice."""
+    def handle_demand_change(self, organisation: str) -> None:
+        """Do nothing: static limits do not depend on demand."""
 
     def can_acquire(self) -> bool:
-        """Tell that nothing ever moves."""
+        """Return False: static limits never change."""
         return False
--- a/vanillawell/coordination/tickets.py
+++ b/vanillawell/coordination/tickets.py
@@ -1,4 +1,4 @@
-"""Describe an accepted request on its way to its single final outcome."""
+"""Define an accepted request and its state until its final outcome."""
 
 from __future__ import annotations
 
@@ -20,21 +20,21 @@
 
 
 class LimitSource(Protocol):
-    """Say how many requests of an organisation may run here."""
+    """Source of the number of requests of an organisation that may run on this entry."""
 
     def usable(self, organisation: str, now: float) -> int:
         """Return the units of the organisation's limit that this entry may use now."""
 
-    def note_demand(self, organisation: str) -> None:
-        """Note that the organisation's demand here has changed."""
+    def handle_demand_change(self, organisation: str) -> None:
+        """Handle a change of the organisation's demand on this entry."""
 
     def can_acquire(self) -> bool:
-        """Tell whether units can be had from the store now."""
+        """Return whether more units can be acquired now."""
 
 
 @dataclass(frozen=True, slots=True)
 class CheckedRequest:
-    """One authenticated, checked request."""
+    """An authenticated and validated request."""
 
     request_id: str
     organisation: str
@@ -47,26 +47,26 @@
 
 @dataclass(slots=True, eq=False)
 class Ticket:
-    """One accepted request on its way to its single final outcome."""
+    """An accepted request and its state until its single final outcome."""
 
     request: CheckedRequest
     waiting: Waiting
     done: anyio.Event = field(default_factory=anyio.Event)
     outcome: Answer | Refusal | None = None
     may_have_run: bool = False
-    """An attempt of it went out and gave no whole answer."""
+    """Whether an attempt was sent and did not return a complete answer."""
 
     last_answer: Answer | None = None
-    """A whole answer with a status of 5xx, kept in case no retry does better."""
+    """The last complete answer with a 5xx status, returned if no retry succeeds."""
 
     running: int = 0
-    """Attempts of it that are under way."""
+    """Number of attempts in progress."""
 
     hedged: bool = False
-    """A second attempt was made because the first one was overdue."""
+    """Whether a second attempt was made because the first one was overdue."""
 
     on_late_outcome: Callable[[Answer | None, Verdict], None] | None = None
-    """Hears how a request ended that had been given up on while it ran."""
+    """Callback for the result of a request that was aborted while an attempt was running."""
 
     def finish(self, outcome: Answer | Refusal) -> None:
         """Set the outcome, once."""
@@ -75,23 +75,23 @@
             self.done.set()
 
     def conclude_late(self, answer: Answer | None) -> None:
-        """Tell how the last attempt of a request ended that was given up on."""
+        """Report the result of the last attempt of an aborted request."""
         if self.on_late_outcome:
-            self.on_late_outcome(answer, Verdict.RAN if answer else self.verdict_if_given_up)
+            self.on_late_outcome(answer, Verdict.RAN if answer else self.verdict_if_aborted)
 
     @property
-    def verdict_if_given_up(self) -> Verdict:
-        """Return what is known if nothing more is tried."""
+    def verdict_if_aborted(self) -> Verdict:
+        """Return the verdict if no further attempt is made."""
         return Verdict.MAY_HAVE_RUN if self.may_have_run else Verdict.NOT_RUN
 
 
 def delivered_to(
     ticket: Ticket, delivered: list[Answer], pool: PoolRuntime, attempt: Attempt
 ) -> Callable[[Answer], None]:
-    """Build the function that receives an attempt's answer.
+    """Return the function that receives an attempt's answer.
 
-    A large answer goes to the caller when its first part is here; a small one waits for the
-    decision whether a retry may do better.
+    A large answer is passed to the caller as soon as its first part has arrived; a small one is
+    held until it is decided whether the request is retried.
     """
 
     def deliver(answer: Answer) -> None:
@@ -104,7 +104,7 @@
 
 
 def failure_of(error: AttemptError | None, answer: Answer | None) -> Failure | None:
-    """Return how an attempt failed, None if it did not."""
+    """Return how an attempt failed, or None if it succeeded."""
     if error is not None:
         return error.failure
     if answer is not None and answer.status >= 500:
--- a/vanillawell/tests/claims_tests.py
+++ b/vanillawell/tests/claims_tests.py
@@ -1,4 +1,4 @@
-"""Drive the claims of one entry through answers that the store loses."""
+"""Test that claims are concluded correctly when the store's answers are lost."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 
 KEYS = StoreKeys("/t")
 
-ANOTHERS = Claim("entry-2/b", "another", "f")
+OTHER_CLAIM = Claim("entry-2/b", "another", "f")
 
 
 class Member:
-    """Membership as far as claims use it."""
+    """Minimal membership for the claim service."""
 
     def __init__(self) -> None:
         self.me = presence("entry-1")
@@ -33,7 +33,7 @@
 
 
 class LossyStore(RacyStore):
-    """A store that grants leases and loses the answers of some conclusions."""
+    """A store that grants leases and drops its answers to some conclusions."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -53,64 +53,64 @@
         return result
 
 
-def play(store: LossyStore, script: Callable[[ClaimService], Awaitable[None]]) -> None:
-    """Run a script beside a desk until all its conclusions are written."""
+def run_script(store: LossyStore, script: Callable[[ClaimService], Awaitable[None]]) -> None:
+    """Run a script against a claim service until all conclusions are written."""
 
     async def run() -> None:
         plain: Any = store
         member: Any = Member()
-        desk = ClaimService(plain, KEYS, member, timing(), Telemetry())
+        claims = ClaimService(plain, KEYS, member, timing(), Telemetry())
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(desk.run)
-            await script(desk)
+            tasks.start_soon(claims.run)
+            await script(claims)
             with anyio.fail_after(5.0):
-                while desk.unfinished:
+                while claims.unfinished:
                     await anyio.sleep(0.01)
             tasks.cancel_scope.cancel()
 
     anyio.run(run)
 
 
-async def held_claim(desk: ClaimService, key: str) -> HeldClaim:
-    held = await desk.claim("guild", key, "f")
+async def held_claim(claims: ClaimService, key: str) -> HeldClaim:
+    held = await claims.claim("guild", key, "f")
     assert isinstance(held, HeldClaim)
     return held
 
 
-def test_a_conclusion_repeated_after_a_lost_answer_leaves_anothers_claim_alone() -> None:
-    """A claim is freed since its stamp did not run; the store applies that and the answer is lost.
+def test_a_conclusion_retried_after_a_lost_answer_keeps_another_entrys_claim() -> None:
+    """The store deletes a claim whose stamp did not run, but its answer is lost.
 
-    The caller sends again through another entry, which claims the key and runs the stamp. If the
-    first entry's second try to free its claim removed the other one's, one more try of the caller
-    would run the stamp twice.
+    The caller retries through another entry, which claims the key and runs the stamp. If the first
+    entry's repeated deletion removed the other entry's claim, another retry of the caller would
+    run the stamp twice.
     """
     store = LossyStore()
     key = uuid7(1_700_000_000_000)
     stored = KEYS.claim("guild", key)
 
-    async def script(desk: ClaimService) -> None:
-        held = await held_claim(desk, key)
+    async def script(claims: ClaimService) -> None:
+        held = await held_claim(claims, key)
         store.losses = 1
-        store.after_loss = lambda: store.put(stored, ANOTHERS.to_bytes())
-        desk.conclude_not_run(held)
+        store.after_loss = lambda: store.put(stored, OTHER_CLAIM.to_bytes())
+        claims.conclude_not_run(held)
 
-    play(store, script)
-    assert store.items[stored].value == ANOTHERS.to_bytes()
+    run_script(store, script)
+    assert store.items[stored].value == OTHER_CLAIM.to_bytes()
 
 
-def test_conclusions_beside_one_that_was_applied_already_are_written() -> None:
-    """Of two conclusions in a batch one was applied when its answer was lost."""
+def test_remaining_conclusions_of_a_batch_are_written_after_one_was_already_applied() -> None:
+    """One of two conclusions in a batch had already been applied when its answer was lost."""
     store = LossyStore()
     keys = [uuid7(1_700_000_000_000 + number) for number in range(2)]
 
-    async def script(desk: ClaimService) -> None:
-        first, second = [await held_claim(desk, key) for key in keys]
+    async def script(claims: ClaimService) -> None:
+        first, second = [await held_claim(claims, key) for key in keys]
         store.losses = 1
-        desk.conclude_ran(first, 200, [], b"one")
+        claims.conclude_ran(first, 200, [], b"one")
         while store.losses:
             await anyio.sleep(0.005)
-        desk.conclude_ran(second, 200, [], b"two")
+        claims.conclude_ran(second, 200, [], b"two")
 
-    play(store, script)
+    run_script(store, script)
     states = [Claim.from_bytes(store.items[KEYS.claim("guild", key)].value).state for key in keys]
     assert states == [ClaimState.RAN, ClaimState.RAN]
--- a/vanillawell/tests/limit_manager_tests.py
+++ b/vanillawell/tests/limit_manager_tests.py
@@ -1,4 +1,4 @@
-"""Drive several limit keepers through races against a store that loses and delays writes."""
+"""Test races of several limit managers against a store that loses and delays writes."""
 
 from __future__ import annotations
 
@@ -34,32 +34,32 @@
 
 
 @dataclass
-class KnownMembers:
-    """Membership as far as a limit keeper uses it."""
+class FakeMembership:
+    """Minimal membership for a limit manager."""
 
     me: Presence
     members: dict[str, Presence]
-    over: set[str]
+    terminated: set[str]
     valid_until: float = float("inf")
 
     def on_change(self, listener: Callable[[], None]) -> None:
-        """Hear of no change."""
+        """Ignore the listener; membership never changes here."""
 
     def ended(self, holders: Iterable[str]) -> set[str]:
-        return self.over & set(holders)
+        return self.terminated & set(holders)
 
 
 class Holder:
-    """One entry's keeper with a demand that the test sets."""
+    """An entry's limit manager with demand set by the test."""
 
     def __init__(self, machine: LimitRaces, name: str) -> None:
         self.demand = 0
         self.board = DemandBoard()
         self.me = presence(name, incarnation=f"run-{machine.next_run()}")
-        self.members = KnownMembers(self.me, machine.members, machine.over)
+        self.members = FakeMembership(self.me, machine.members, machine.terminated)
         store: Any = machine.store
         members: Any = self.members
-        self.keeper = LimitManager(
+        self.manager = LimitManager(
             store,
             StoreKeys("/t"),
             members,
@@ -68,16 +68,16 @@
             Telemetry(),
             random.Random(1),
         )
-        self.keeper.connect(lambda _: self.demand, lambda _: 0, lambda: None, lambda: None)
+        self.manager.connect(lambda _: self.demand, lambda _: 0, lambda: None, lambda: None)
         self.version = 0
 
     @property
     def usable(self) -> int:
-        return self.keeper.usable(ORGANISATION, 0.0) if self.version else 0
+        return self.manager.usable(ORGANISATION, 0.0) if self.version else 0
 
-    def settle(self) -> None:
+    def reconcile(self) -> None:
         try:
-            anyio.run(self.keeper.settle_all)
+            anyio.run(self.manager.reconcile_all)
         except StoreError:
             return
 
@@ -90,7 +90,7 @@
 
 
 class LimitRaces(RuleBasedStateMachine):
-    """Operators change a limit while entries take, give, die and lose answers."""
+    """Operators change a limit while entries acquire and release units, crash and lose answers."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -99,17 +99,17 @@
         self.clock.start()
         self.store = RacyStore()
         self.members: dict[str, Presence] = {}
-        self.over: set[str] = set()
+        self.terminated: set[str] = set()
         self.runs = 0
         self.changes: tuple[LimitChange, ...] = (LimitChange(1, 10),)
         self.holders = [self.new_holder(number) for number in range(HOLDERS)]
-        self.dead: list[tuple[str, int]] = []
+        self.killed: list[tuple[str, int]] = []
 
     def teardown(self) -> None:
         self.clock.stop()
 
     def read_clock(self) -> float:
-        """Let a second pass at every look, so that no copy counts as recent."""
+        """Advance the clock by one second per reading, so that every ledger copy is stale."""
         self.time += 1.0
         return self.time
 
@@ -125,7 +125,7 @@
 
     def apply_configuration(self, holder: Holder) -> None:
         holder.version = self.changes[-1].version
-        holder.keeper.configure(policy(self.changes, holder.version))
+        holder.manager.configure(policy(self.changes, holder.version))
 
     @rule(number=st.integers(0, HOLDERS - 1), wanted=st.integers(0, 14))
     def change_demand(self, number: int, wanted: int) -> None:
@@ -135,20 +135,20 @@
         number=st.integers(0, HOLDERS - 1),
         mode=st.sampled_from(["ok", "ok", "ok", "lost", "delayed", "unavailable"]),
     )
-    def settle(self, number: int, mode: str) -> None:
+    def reconcile(self, number: int, mode: str) -> None:
         self.store.mode = mode
-        self.holders[number].settle()
+        self.holders[number].reconcile()
         self.store.mode = "ok"
 
     @rule(number=st.integers(0, HOLDERS - 1), mode=st.sampled_from(["ok", "lost", "delayed"]))
     def move_all_demand_away(self, number: int, mode: str) -> None:
-        """Let an entry hold units and then give them, by a write of uncertain outcome."""
+        """Let an entry acquire units and release them by a write of unknown outcome."""
         giver, taker = self.holders[number], self.holders[(number + 1) % HOLDERS]
         giver.demand, taker.demand = 14, 0
-        self.settle(number, "ok")
+        self.reconcile(number, "ok")
         giver.demand, taker.demand = 0, 14
         self.exchange_demand()
-        self.settle(number, mode)
+        self.reconcile(number, mode)
 
     @precondition(lambda self: self.store.delayed)
     @rule()
@@ -161,7 +161,7 @@
         self.changes = (*self.changes, LimitChange(version, limit))
 
     @rule(number=st.integers(0, HOLDERS - 1))
-    def hear_of_configuration(self, number: int) -> None:
+    def fetch_configuration(self, number: int) -> None:
         self.apply_configuration(self.holders[number])
 
     @rule()
@@ -173,21 +173,21 @@
     @rule(number=st.integers(0, HOLDERS - 1))
     def kill_and_restart(self, number: int) -> None:
         old = self.holders[number]
-        self.dead.append((old.me.holder, old.usable))
+        self.killed.append((old.me.holder, old.usable))
         self.holders[number] = self.new_holder(number)
 
-    @precondition(lambda self: self.dead)
+    @precondition(lambda self: self.killed)
     @rule()
-    def end_what_a_dead_one_started(self) -> None:
-        holder, _ = self.dead.pop(0)
-        self.over.add(holder)
+    def end_requests_of_killed_holder(self) -> None:
+        holder, _ = self.killed.pop(0)
+        self.terminated.add(holder)
 
     @invariant()
     def limit_is_obeyed(self) -> None:
         oldest = min(holder.version for holder in self.holders)
         earlier = [change for change in self.changes if change.version <= oldest][-1:]
         allowed = [change.limit for change in self.changes if change.version > oldest]
-        still_running = sum(usable for _, usable in self.dead)
+        still_running = sum(usable for _, usable in self.killed)
         used = sum(holder.usable for holder in self.holders) + still_running
         if still_running:
             allowed += [change.limit for change in self.changes]
@@ -200,26 +200,26 @@
 )
 
 
-def test_units_move_to_where_demand_is() -> None:
+def test_units_follow_demand() -> None:
     machine = LimitRaces()
     machine.teardown()
     first, second = machine.holders[:2]
     first.demand = 10
-    first.settle()
+    first.reconcile()
     assert first.usable >= 8
     first.demand, second.demand = 0, 10
     machine.exchange_demand()
     for _ in range(8):
-        first.settle()
-        second.settle()
+        first.reconcile()
+        second.reconcile()
     assert second.usable >= 8
 
 
-def test_a_delayed_giving_write_is_fenced_before_its_units_are_used_again() -> None:
-    """A write that gives units away gets no answer and is applied seconds later.
+def test_units_of_a_delayed_release_stay_unused_until_it_cannot_be_applied() -> None:
+    """A write that releases units is not answered and is applied seconds later.
 
-    A read in between shows the units as still held. If the entry used them again on that
-    ground, another entry would use them too as soon as the write is applied.
+    A read in between shows the units as still held. If the entry used them again because of that,
+    another entry would use them as well once the write is applied.
     """
     machine = LimitRaces()
     first, second = machine.holders[:2]
@@ -227,69 +227,69 @@
     first.demand = 14
     machine.exchange_demand()
     machine.store.mode = "unavailable"
-    first.settle()
+    first.reconcile()
     machine.apply_delayed_write()
-    second.settle()
+    second.reconcile()
     assert first.usable + second.usable <= 10
     machine.teardown()
 
 
-def test_units_are_not_given_away_while_the_store_is_down() -> None:
-    """The store goes down while entries hold units; they must go on with what they hold."""
+def test_units_are_kept_while_the_store_is_down() -> None:
+    """Entries continue with the units that they hold when the store goes down."""
     machine = LimitRaces()
     machine.teardown()
     first = machine.holders[0]
     first.demand = 6
-    first.settle()
+    first.reconcile()
     before = first.usable
     for _ in range(5):
         machine.store.mode = "unavailable"
         first.demand = 0
-        first.settle()
+        first.reconcile()
     assert first.usable == before
 
 
-def test_an_outage_traps_no_units_in_uncertain_writes() -> None:
-    """The store goes down at a moment when an entry wants to give units away.
+def test_a_store_outage_leaves_no_units_in_writes_of_unknown_outcome() -> None:
+    """The store goes down just before an entry releases units.
 
-    If the write were sent without a sign of life, its units could be used by nobody until the
-    store is back; in a busy fleet that was most of the limit.
+    If the write were sent without a successful read first, no entry could use its units until the
+    store recovers; in a busy fleet this affected most of the limit.
     """
     machine = LimitRaces()
     machine.teardown()
     first, second = machine.holders[:2]
     first.demand = 10
-    first.settle()
+    first.reconcile()
     held = first.usable
     first.demand, second.demand = 0, 10
     machine.exchange_demand()
     machine.store.down = True
-    first.settle()
+    first.reconcile()
     assert first.usable == held
 
 
-def test_no_unit_is_usable_once_the_term_has_passed() -> None:
-    """A process is paused beyond its term and wakes in the middle of its work."""
+def test_no_unit_is_usable_after_the_holding_term() -> None:
+    """A process is paused beyond its holding term and resumes while handling requests."""
     machine = LimitRaces()
     machine.teardown()
     first = machine.holders[0]
     first.demand = 6
-    first.settle()
+    first.reconcile()
     first.members.valid_until = 50.0
-    assert first.keeper.usable(ORGANISATION, 49.9) > 0
-    assert first.keeper.usable(ORGANISATION, 50.0) == 0
+    assert first.manager.usable(ORGANISATION, 49.9) > 0
+    assert first.manager.usable(ORGANISATION, 50.0) == 0
 
 
-def test_replacing_a_presence_gives_a_new_holder() -> None:
+def test_a_new_incarnation_has_a_new_holder_name() -> None:
     one = presence("entry-1", "one")
     assert replace(one, incarnation="two").holder != one.holder
 
 
-def test_an_entry_that_has_just_started_lets_its_first_callers_wait_for_units() -> None:
-    """The first request comes before the first answer of the store, as it does on a busy machine.
-    Refused with the word that the store is away, its caller would leave for nothing: the units are
-    there within milliseconds."""
+def test_a_new_entry_queues_its_first_requests_until_units_are_granted() -> None:
+    """The first request arrives before the store's first answer, as it does on a busy machine.
+    If it were refused because the store is unreachable, its caller would be turned away needlessly:
+    the units are granted within milliseconds."""
     machine = LimitRaces()
     holder = Holder(machine, "entry-1")
-    assert holder.keeper.can_acquire()
+    assert holder.manager.can_acquire()
     machine.teardown()
--- a/vanillawell/tests/orphan_claims_tests.py
+++ b/vanillawell/tests/orphan_claims_tests.py
@@ -1,4 +1,4 @@
-"""Check what becomes of claims that were applied although nobody heard of it."""
+"""Test the handling of claims that were applied after their requests were refused."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import anyio
 
-from vanillawell.coordination.orphan_claims import ORPHAN_SECONDS, OrphanClaims
+from vanillawell.coordination.orphan_claims import ORPHAN_RETENTION, OrphanClaims
 from vanillawell.exceptions import StoreOutcomeUnknownError
 from vanillawell.protocol.claim_documents import Claim
 from vanillawell.protocol.store import KeyValue, Transaction, TransactionResult
@@ -19,8 +19,8 @@
 CLAIM = Claim("entry-1/a", "token", FINGERPRINT)
 
 
-class StoreWithTrap(RacyStore):
-    """A store that lets the caller try again while a deletion is on its way."""
+class InterceptingStore(RacyStore):
+    """A store that runs a callback while a deletion is in flight, and can drop its answers."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -36,9 +36,9 @@
         return result
 
 
-def applied_claim() -> tuple[StoreWithTrap, OrphanClaims, KeyValue]:
-    """Build a claim that was applied after its request had been refused as not run."""
-    store = StoreWithTrap()
+def applied_claim() -> tuple[InterceptingStore, OrphanClaims, KeyValue]:
+    """Return a stored claim that was applied after its request had been refused as not run."""
+    store = InterceptingStore()
     store.put(KEY, CLAIM.to_bytes())
     plain: Any = store
     orphans = OrphanClaims(plain)
@@ -48,43 +48,43 @@
 
 def test_a_claim_that_was_applied_late_is_deleted() -> None:
     store, orphans, _ = applied_claim()
-    anyio.run(orphans.free_all, 1.0)
+    anyio.run(orphans.delete_applied, 1.0)
     assert KEY not in store.items
 
 
-def test_a_new_try_takes_the_claim_over_and_it_stays() -> None:
+def test_a_retry_adopts_the_claim_and_it_is_not_deleted() -> None:
     store, orphans, found = applied_claim()
     assert orphans.adopt(found, "another request") is None
     assert orphans.adopt(found, FINGERPRINT) == (CLAIM, 7)
-    anyio.run(orphans.free_all, 1.0)
+    anyio.run(orphans.delete_applied, 1.0)
     assert KEY in store.items
 
 
-def test_a_claim_that_is_being_deleted_is_not_taken_over() -> None:
-    """The caller tries again while the entry's deletion of the old claim is on its way.
+def test_a_claim_with_a_deletion_in_flight_is_not_adopted() -> None:
+    """The caller retries while the entry's deletion of the old claim is in flight.
 
-    If the new try ran under that claim, the deletion would remove it, and one more try through
-    any entry would run the stamp a second time.
+    If the retry ran under that claim, the deletion would remove it, and another retry through any
+    entry would run the stamp a second time.
     """
     store, orphans, found = applied_claim()
     adopted: list[object] = []
     store.on_delete = lambda: adopted.append(orphans.adopt(found, FINGERPRINT))
-    anyio.run(orphans.free_all, 1.0)
+    anyio.run(orphans.delete_applied, 1.0)
     assert adopted == [None]
 
 
-def test_a_deletion_without_an_answer_still_bars_a_takeover() -> None:
-    """The store's answer to the deletion is lost; it may be applied at any time from now on."""
+def test_a_claim_is_not_adopted_after_an_unanswered_deletion() -> None:
+    """The store's answer to the deletion is lost, so the deletion may be applied at any time."""
     store, orphans, found = applied_claim()
     store.lose_answers = True
-    anyio.run(orphans.free_all, 1.0)
+    anyio.run(orphans.delete_applied, 1.0)
     assert orphans.adopt(found, FINGERPRINT) is None
 
 
-def test_a_claim_that_can_no_longer_be_applied_is_forgotten() -> None:
+def test_an_orphaned_claim_is_dropped_after_the_retention_period() -> None:
     store, orphans, _ = applied_claim()
     del store.items[KEY]
-    anyio.run(orphans.free_all, ORPHAN_SECONDS + 1.0)
+    anyio.run(orphans.delete_applied, ORPHAN_RETENTION + 1.0)
     store.put(KEY, CLAIM.to_bytes())
-    anyio.run(orphans.free_all, ORPHAN_SECONDS + 2.0)
+    anyio.run(orphans.delete_applied, ORPHAN_RETENTION + 2.0)
     assert KEY in store.items
