--- a/vanillawell/coordination/assignment.py
+++ b/vanillawell/coordination/assignment.py
@@ -1,4 +1,4 @@
-"""Keep the newest assignment of instances to pools in force in this entry."""
+"""Keep this entry's assignment of instances to pools in sync with the store."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class AssignmentSync(DocumentSync):
-    """Own the assignment in force in this entry."""
+    """Sync the assignment in force in this entry."""
 
     def __init__(
         self,
@@ -31,12 +31,12 @@
 
     @property
     def assignment(self) -> Assignment:
-        """Return the assignment in force; all instances at home before the first."""
+        """Return the assignment in force; before the first, instances are in their home pools."""
         return self._assignment
 
     @property
     def version(self) -> int:
-        """Return the version in force; 0 before the first."""
+        """Return the version in force, or 0 before the first."""
         return self._assignment.version
 
     def _adopt(self, document: bytes) -> bool:
--- a/vanillawell/coordination/configuration.py
+++ b/vanillawell/coordination/configuration.py
@@ -1,4 +1,4 @@
-"""Bring the newest configuration into force in this entry and keep it there."""
+"""Keep this entry's configuration in sync with the store."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class ConfigurationSync(DocumentSync):
-    """Own the configuration in force in this entry."""
+    """Sync the configuration in force in this entry."""
 
     def __init__(
         self,
@@ -36,17 +36,17 @@
 
     @property
     def policy(self) -> Policy | None:
-        """Return the configuration in force, None before the first."""
+        """Return the configuration in force, or None before the first."""
         return self._policy
 
     @property
     def tree(self) -> OperatorTree | None:
-        """Return the operators' tree in force, None before the first."""
+        """Return the operators' configuration tree in force, or None before the first."""
         return self._tree
 
     @property
     def version(self) -> int:
-        """Return the version in force; 0 before the first."""
+        """Return the version in force, or 0 before the first."""
         return self._policy.version if self._policy else 0
 
     def _adopt(self, document: bytes) -> bool:
--- a/vanillawell/coordination/configuration_editor.py
+++ b/vanillawell/coordination/configuration_editor.py
@@ -1,4 +1,4 @@
-"""Change the operators' tree in the store, safely when operators race and answers get lost."""
+"""Change the configuration in the store, safely under concurrent changes and lost answers."""
 
 from __future__ import annotations
 
@@ -26,22 +26,22 @@
     from vanillawell.protocol.documents import StoreKeys
     from vanillawell.protocol.store import Store
 
-TRIES = 8
-"""Tries to learn the outcome of a write whose answer was lost."""
+MAX_ATTEMPTS = 8
+"""Maximum attempts at a write, including those that determine the outcome of an unanswered one."""
 
-VERSIONS_KEPT = 200
-"""Earlier versions that stay in the store; at 2,400 changes a day all would fill it."""
+MAX_STORED_VERSIONS = 200
+"""Versions kept in the store; at 2,400 changes a day, an unlimited history would fill it."""
 
-TRY_PAUSE = 0.5
-"""Seconds between two of these tries."""
+RETRY_INTERVAL = 0.5
+"""Seconds between two of these attempts."""
 
 Change = Callable[["OperatorTree"], "OperatorTree"]
-"""Builds the wanted tree from the one in force."""
+"""Function that builds the new tree from the one in force."""
 
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """One key that differs between two trees; None stands for absent."""
+    """A key that differs between two trees; None means that it is absent."""
 
     key: str
     before: object
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Proposal:
-    """A checked change, not yet written."""
+    """A validated change that is not written yet."""
 
     base: Configuration | None
     base_revision: int
@@ -92,67 +92,69 @@
         self._author = author
 
     async def current(self) -> Configuration | None:
-        """Return the configuration in force, None before the first."""
-        found = await self._store.get(self._keys.configuration)
-        return Configuration.from_bytes(found.value) if found else None
+        """Return the configuration in force, or None before the first."""
+        stored = await self._store.get(self._keys.configuration)
+        return Configuration.from_bytes(stored.value) if stored else None
 
     async def history(self) -> list[Configuration]:
-        """Return all versions that are kept, oldest first."""
+        """Return all stored versions, oldest first."""
         listing = await self._store.list(self._keys.all_history)
         return [Configuration.from_bytes(item.value) for item in listing.items]
 
     async def version(self, number: int) -> Configuration:
-        """Return one version; raises SettingsError if it is not kept."""
-        found = await self._store.get(self._keys.history(number))
-        if found is None:
-            raise SettingsError(f"version {number}: is not kept")
-        return Configuration.from_bytes(found.value)
+        """Return one version; raise SettingsError if it is not stored."""
+        stored = await self._store.get(self._keys.history(number))
+        if stored is None:
+            raise SettingsError(f"version {number}: is not stored any more")
+        return Configuration.from_bytes(stored.value)
 
     async def propose(self, change: Change, base: int | None = None) -> Proposal:
-        """Build and check a change of the configuration in force.
+        """Build and validate a change of the configuration in force.
 
-        `base` is the version it was meant for; if another is in force, ConflictError shows what
-        has changed since.
+        `base` is the version that the change was prepared for; if another version is in force,
+        raise ConflictError with the differences between the two.
         """
-        found = await self._store.get(self._keys.configuration)
-        current = Configuration.from_bytes(found.value) if found else None
+        stored = await self._store.get(self._keys.configuration)
+        current = Configuration.from_bytes(stored.value) if stored else None
         await self._require_base(current, base)
         tree = change(current.tree if current else _empty_tree())
         differences = compare_trees(current.tree if current else None, tree)
-        revision = found.mod_revision if found else 0
+        revision = stored.mod_revision if stored else 0
         return Proposal(current, revision, tree, differences, check_tree(tree))
 
     async def _require_base(self, current: Configuration | None, base: int | None) -> None:
         version = current.version if current else 0
         if base is None or base == version:
             return
-        shown = ""
+        differences_text = ""
         if current and 0 < base < version:
             before = await self.version(base)
-            shown = _show(compare_trees(before.tree, current.tree))
-        raise ConflictError(f"version {version} is in force, not {base}{shown}")
+            differences_text = _format_differences(compare_trees(before.tree, current.tree))
+        raise ConflictError(f"version {version} is in force, not {base}{differences_text}")
 
     async def accept(self, proposal: Proposal, note: str) -> Configuration:
-        """Write a checked change as the next version.
+        """Write a validated change as the next version.
 
-        Of two racing operators one gets ConflictError with what the other changed. An answer
-        lost after the write took effect is recognised by the change's own id.
+        If another operator made a change at the same time, raise ConflictError with its
+        differences. If the answer to a successful write was lost, the write is recognised by the
+        id of the change.
         """
         if proposal.findings.errors:
             raise SettingsError("\n".join(str(item) for item in proposal.findings.errors))
         configuration = self._next(proposal, note)
         transaction = self._transaction(proposal, configuration)
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             try:
                 result = await self._store.transact(transaction)
             except (StoreOutcomeUnknownError, StoreUnavailableError):
-                await anyio.sleep(TRY_PAUSE)
+                await anyio.sleep(RETRY_INTERVAL)
                 continue
             if result.succeeded:
                 return configuration
             return await self._settle_conflict(proposal, configuration, result.values)
         raise StoreOutcomeUnknownError(
-            f"the store does not answer; run again, or look for change {configuration.change_id}"
+            f"the store does not answer; run the command again, "
+            f"or look for change {configuration.change_id} in the history"
         )
 
     def _next(self, proposal: Proposal, note: str) -> Configuration:
@@ -176,26 +178,26 @@
                 Put(self._keys.configuration, document),
                 Put(self._keys.history(configuration.version), document),
             ],
-            deletes=[self._keys.history(configuration.version - VERSIONS_KEPT)],
+            deletes=[self._keys.history(configuration.version - MAX_STORED_VERSIONS)],
             reads=[self._keys.configuration],
         )
 
     async def _settle_conflict(
-        self, proposal: Proposal, mine: Configuration, values: dict[str, KeyValue]
+        self, proposal: Proposal, own: Configuration, values: dict[str, KeyValue]
     ) -> Configuration:
-        """Tell a lost race from one's own write whose answer was lost."""
-        kept = await self._store.get(self._keys.history(mine.version))
-        if kept and Configuration.from_bytes(kept.value).change_id == mine.change_id:
-            return mine
-        found = values.get(self._keys.configuration)
-        theirs = Configuration.from_bytes(found.value) if found else None
+        """Return `own` if it was written and only its answer was lost; else raise ConflictError."""
+        stored = await self._store.get(self._keys.history(own.version))
+        if stored and Configuration.from_bytes(stored.value).change_id == own.change_id:
+            return own
+        in_force = values.get(self._keys.configuration)
+        theirs = Configuration.from_bytes(in_force.value) if in_force else None
         base = proposal.base.tree if proposal.base else None
-        shown = _show(compare_trees(base, theirs.tree)) if theirs else ""
+        differences_text = _format_differences(compare_trees(base, theirs.tree)) if theirs else ""
         who = f"{theirs.author} made version {theirs.version}" if theirs else "it was removed"
-        raise ConflictError(f"the configuration changed meanwhile: {who}{shown}")
+        raise ConflictError(f"the configuration changed meanwhile: {who}{differences_text}")
 
 
-def _show(differences: tuple[Difference, ...]) -> str:
+def _format_differences(differences: tuple[Difference, ...]) -> str:
     return "".join(f"\n  {item}" for item in differences)
 
 
--- a/vanillawell/coordination/document_sync.py
+++ b/vanillawell/coordination/document_sync.py
@@ -1,8 +1,8 @@
-"""Follow one versioned document of the store, directly or through peers.
+"""Sync one versioned document with the store, directly or through peers.
 
-Few entries watch the store; the others hear from them by heartbeats and fetch what is new from
-whoever has it. Versions only rise: an older answer, from a store restored to an earlier state or
-from a peer that was cut off, is never applied.
+Only a few entries watch the store. The others learn of new versions from heartbeats and fetch them
+from a peer that has them. Versions only increase: an older one, from a store restored to an earlier
+state or from a peer that was cut off, is never applied.
 """
 
 from __future__ import annotations
@@ -27,15 +27,15 @@
 
 log = logging.getLogger(__name__)
 
-RETRY_PAUSE = 0.3
-"""Seconds between two tries to reach a store that is down."""
+RETRY_INTERVAL = 0.3
+"""Seconds between two attempts to reach a store that is down."""
 
-CONFIRMED_WITHIN = 3.0
-"""Poll intervals without word from a watcher after which an entry polls by itself."""
+MAX_UNCONFIRMED_POLLS = 3.0
+"""Poll intervals without confirmation by a watcher after which an entry polls the store itself."""
 
 
 class DocumentSync(ABC):
-    """Own the version of one document that is in force in this entry."""
+    """Sync one document and hold the version that is in force in this entry."""
 
     def __init__(
         self,
@@ -60,7 +60,7 @@
     @property
     @abstractmethod
     def version(self) -> int:
-        """Return the version in force; 0 before the first."""
+        """Return the version in force, or 0 before the first."""
 
     @property
     def document(self) -> bytes:
@@ -69,7 +69,7 @@
 
     @property
     def revision(self) -> int:
-        """Return the store revision of the document last read from the store."""
+        """Return the store revision at which the document was last read from the store."""
         return self._revision
 
     def fresh_age(self, now: float) -> float:
@@ -78,9 +78,9 @@
 
     @abstractmethod
     def _adopt(self, document: bytes) -> bool:
-        """Bring a document into force if it is newer, and tell whether it was.
+        """Apply a document if it is newer, and return whether it was.
 
-        Raises SettingsError, ValueError, TypeError or KeyError if it is unreadable.
+        Raise SettingsError, ValueError, TypeError or KeyError if it is unreadable.
         """
 
     def on_change(self, listener: Callable[[], None]) -> None:
@@ -88,15 +88,17 @@
         self._listeners.append(listener)
 
     def apply(self, document: bytes) -> bool:
-        """Bring a document into force if it is newer; False if it is not or is unreadable.
+        """Apply a document if it is newer; return False if it is not newer or is unreadable.
 
-        An unreadable one, written by a later version of the program or by hand, must not end an
-        entry that serves well by the document it has.
+        An unreadable document, written by a later version of the program or by hand, must not
+        terminate an entry that has a valid document.
         """
         try:
             newer = self._adopt(document)
         except (SettingsError, ValueError, TypeError, KeyError) as error:
-            log.error("%s refused", self._name, extra={"reason": str(error)})
+            log.error(
+                "%s document unreadable, not applied", self._name, extra={"reason": str(error)}
+            )
             return False
         if not newer:
             return False
@@ -106,43 +108,43 @@
         return True
 
     def confirm(self, version: int, age: float, now: float) -> None:
-        """Note that `version` was the newest one `age` seconds ago, as a peer says."""
+        """Record a peer's confirmation that `version` was the newest one `age` seconds ago."""
         if version == self.version:
             self._confirmed_at = max(self._confirmed_at, now - age)
 
     async def run(self) -> None:
-        """Follow the store until cancelled."""
+        """Sync with the store until cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._poll)
             tasks.start_soon(self._watch)
 
     async def _poll(self) -> None:
-        """Confirm the version in force regularly, which also finds a watch that went silent."""
+        """Confirm the version in force at intervals, in case the watch is unresponsive."""
         while True:
-            pause = self._settings.poll_interval
+            interval = self._settings.poll_interval
             age = self.fresh_age(clock.read())
-            if self._membership.is_watcher() or age > CONFIRMED_WITHIN * pause:
+            if self._membership.is_watcher() or age > MAX_UNCONFIRMED_POLLS * interval:
                 try:
                     await self.check_store()
                 except StoreError:
-                    pause = pause if self.version else RETRY_PAUSE
-            await anyio.sleep(pause)
+                    interval = interval if self.version else RETRY_INTERVAL
+            await anyio.sleep(interval)
 
     async def check_store(self) -> None:
-        """Ask the store whether there is something newer; raises StoreError."""
-        asked = clock.read()
+        """Read the document if the store has a newer one; raise StoreError on failure."""
+        requested_at = clock.read()
         compare = Compare(self._key, self._revision)
         result = await self._store.transact(Transaction(compares=[compare], reads=[self._key]))
         self._telemetry.store_calls.inc({"task": self._name, "result": "ok"})
         if not result.succeeded and self._key in result.values:
-            self.take(result.values[self._key])
+            self.apply_stored(result.values[self._key])
         if self.version:
-            self._confirmed_at = max(self._confirmed_at, asked)
+            self._confirmed_at = max(self._confirmed_at, requested_at)
 
-    def take(self, found: KeyValue) -> None:
-        """Take over a value that was read from the store."""
-        self._revision = found.mod_revision
-        if not self.apply(found.value) and found.value != self._document:
+    def apply_stored(self, stored: KeyValue) -> None:
+        """Apply a value that was read from the store."""
+        self._revision = stored.mod_revision
+        if not self.apply(stored.value) and stored.value != self._document:
             self._telemetry.state(f"{self._name} in the store", "older", logging.WARNING)
 
     async def _watch(self) -> None:
@@ -152,23 +154,23 @@
                 continue
             try:
                 async with anyio.create_task_group() as tasks:
-                    tasks.start_soon(self._end_when_others_watch, tasks.cancel_scope)
-                    await self._follow_watch()
+                    tasks.start_soon(self._cancel_when_not_watcher, tasks.cancel_scope)
+                    await self._apply_changes()
                     tasks.cancel_scope.cancel()
             except* StoreError:
-                await anyio.sleep(RETRY_PAUSE)
+                await anyio.sleep(RETRY_INTERVAL)
 
-    async def _follow_watch(self) -> None:
+    async def _apply_changes(self) -> None:
         async with self._store.watch(self._key, self._revision + 1) as changes:
-            async for found in changes:
-                self.take(found)
+            async for stored in changes:
+                self.apply_stored(stored)
                 self._confirmed_at = clock.read()
 
-    async def _end_when_others_watch(self, scope: anyio.CancelScope) -> None:
-        """End a watch once this entry is no longer one of its zone's first.
+    async def _cancel_when_not_watcher(self, scope: anyio.CancelScope) -> None:
+        """Cancel the watch once this entry is no longer one of its zone's watchers.
 
-        At its start each entry knows only itself and watches; if it went on, the store would
-        hold a watch for each entry and document.
+        After its start each entry knows only itself and watches the store. If it did not stop, the
+        store would serve one watch for each entry and document.
         """
         while self._membership.is_watcher():
             await anyio.sleep(self._settings.poll_interval)
--- a/vanillawell/coordination/instance_list.py
+++ b/vanillawell/coordination/instance_list.py
@@ -1,4 +1,4 @@
-"""Keep the platform's list of instances, read as often as its size allows."""
+"""Cache the platform's list of instances; larger lists are read less often."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 if TYPE_CHECKING:
     from vanillawell.protocol.platform_calls import InstanceList, PlatformCalls
 
-BYTES_PER_SECOND = 2000.0
-"""What reading the list may cost; 4,000 instances make some 80 KB, read every 40 s then."""
+MAX_BYTES_PER_SECOND = 2000.0
+"""Maximum average rate of reading the list; 80 KB for 4,000 instances are read every 40 s."""
 
 
 class InstanceListCache:
-    """Own the planner's copy of the list.
+    """The planner's cache of the instance list.
 
-    A copy only makes the list older than the platform's lag does already: its age counts on, so
-    the bound beyond which no step is begun holds for both together.
+    The reported age includes the time in the cache as well as the platform's own lag, so the
+    maximum age at which steps are begun applies to the sum of both.
     """
 
     def __init__(self, platform: PlatformCalls) -> None:
         self._platform = platform
-        self._copy: InstanceList | None = None
+        self._cached: InstanceList | None = None
         self._read_at = 0.0
 
     async def current(self, now: float) -> InstanceList:
-        """Return the list with its present age; raises PlatformUnavailableError."""
-        if self._copy is None or now - self._read_at >= self._copy.size / BYTES_PER_SECOND:
-            self._copy = await self._platform.instances()
+        """Return the list with its current age; raise PlatformUnavailableError on failure."""
+        if self._cached is None or now - self._read_at >= self._cached.size / MAX_BYTES_PER_SECOND:
+            self._cached = await self._platform.instances()
             self._read_at = now
-        return replace(self._copy, age=self._copy.age + now - self._read_at)
+        return replace(self._cached, age=self._cached.age + now - self._read_at)
--- a/vanillawell/coordination/job_runner.py
+++ b/vanillawell/coordination/job_runner.py
@@ -1,7 +1,7 @@
-"""Run work that may wait on the platform's workers, from the one entry that holds the role.
+"""Run deferrable jobs on the platform's workers, from the one entry that holds the role.
 
-A start is reserved in the store before the platform hears of it, and its id is the same at every
-try. So neither a planner that was replaced nor an answer that got lost starts a job twice.
+A start is recorded in the store before it is requested from the platform, and its task id is the
+same for every attempt. So neither a replaced job runner nor a lost answer can start a job twice.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from vanillawell.coordination.role import NotHolderError, Role, act_while_held
+from vanillawell.coordination.role import NotHolderError, Role, run_while_held
 from vanillawell.protocol.store import Compare, Put, Transaction
 from vanillawell.state.jobs import (
     Job,
@@ -34,11 +34,11 @@
     from vanillawell.telemetry import Telemetry
 
 TASK_TTL = 15.0
-"""Seconds that a task outlives its last renewal; longer than another entry takes to take over."""
+"""Seconds until a task expires after its last renewal; longer than a take-over of the role."""
 
 
 class JobRunner:
-    """Start, stop and follow jobs while this entry holds the role."""
+    """Start, stop and track jobs while this entry holds the role."""
 
     def __init__(
         self,
@@ -56,58 +56,58 @@
         self._pressure = pressure
         self._telemetry = telemetry
         self._role = Role(store, keys.job_runner, membership)
-        self._book = JobBook()
+        self._registry = JobBook()
         self._revision = 0
 
     async def run(self) -> None:
-        """Take the role when it is free and act while it is held, until cancelled."""
-        await act_while_held("job runner", self._round, self._membership, self._telemetry)
+        """Acquire the role when it is free and manage jobs while it is held, until cancelled."""
+        await run_while_held("job runner", self._round, self._membership, self._telemetry)
 
     async def _round(self) -> None:
-        await self._role.hold()
+        await self._role.acquire()
         await self._read()
         if not any(self._active()):
             return
-        await self._follow()
+        await self._sync_running_tasks()
         pressure, now = self._pressure(), time.time()
-        for job in jobs_to_stop(self._book, pressure, now):
+        for job in jobs_to_stop(self._registry, pressure, now):
             await self._platform.stop_task(job.task_id)
         workers = await self._platform.workers()
-        for job, worker in jobs_to_start(self._book, workers, pressure, now):
+        for job, worker in jobs_to_start(self._registry, workers, pressure, now):
             await self._start(job, worker)
 
     def _active(self) -> list[Job]:
         ended = (JobState.DONE, JobState.FAILED)
-        return [job for job in self._book.jobs.values() if job.state not in ended]
+        return [job for job in self._registry.jobs.values() if job.state not in ended]
 
     async def _read(self) -> None:
-        found = await self._store.get(self._key)
-        self._book = JobBook.from_bytes(found.value) if found else JobBook()
-        self._revision = found.mod_revision if found else 0
+        stored = await self._store.get(self._key)
+        self._registry = JobBook.from_bytes(stored.value) if stored else JobBook()
+        self._revision = stored.mod_revision if stored else 0
 
-    async def _write(self, book: JobBook) -> None:
-        """Write the book; raises NotHolderError if the role or the book changed meanwhile."""
-        if book is self._book:
+    async def _write(self, registry: JobBook) -> None:
+        """Write the job registry; raise NotHolderError if it or the role has changed meanwhile."""
+        if registry is self._registry:
             return
         result = await self._store.transact(
             Transaction(
                 compares=[self._role.guard, Compare(self._key, self._revision)],
-                puts=[Put(self._key, book.to_bytes())],
+                puts=[Put(self._key, registry.to_bytes())],
             )
         )
         if not result.succeeded:
             raise NotHolderError
-        self._book = book
+        self._registry = registry
         self._revision = result.revision
 
     async def _start(self, job: Job, worker: str) -> None:
         started = replace(job, state=JobState.RUNNING, worker=worker, attempt=job.attempt + 1)
-        await self._write(self._book.with_job(started))
+        await self._write(self._registry.with_job(started))
         self._log(started, "running")
-        await self._platform.start_task(started, self._book.expected_cores(started), TASK_TTL)
+        await self._platform.start_task(started, self._registry.expected_cores(started), TASK_TTL)
 
-    async def _follow(self) -> None:
-        """Take over what became of running tasks, and renew those that go on."""
+    async def _sync_running_tasks(self) -> None:
+        """Update running jobs from the platform's task reports, and renew tasks that still run."""
         running = [job for job in self._active() if job.state is JobState.RUNNING]
         if not running:
             return
@@ -115,9 +115,9 @@
         for job in running:
             report = reports.get(job.task_id)
             if report is None:
-                # The reservation was written and the platform never heard of it.
+                # The start was recorded but never reached the platform.
                 report = TaskReport(TaskState.LOST, 0.0, 0.0, 0.0)
-            await self._write(conclude(self._book, job, report))
+            await self._write(conclude(self._registry, job, report))
             if report.state is not TaskState.RUNNING:
                 self._log(job, report.state)
 
--- a/vanillawell/coordination/membership.py
+++ b/vanillawell/coordination/membership.py
@@ -1,9 +1,9 @@
-"""Register this entry in the store and know which other entries there are.
+"""Register this entry in the store and track the other entries of the fleet.
 
-Presence stands under a lease that the entry renews. What may be concluded from a missing
-presence is little: the entry may be cut off from the store and go on serving with the limit
-units it holds. So a missing holder counts as ended only with proof, or after the term for which
-it may use its units alone; see `HolderLiveness`.
+An entry's presence key is bound to a lease that the entry renews. A missing presence does not prove
+that the entry has terminated: it may be cut off from the store and still serve requests with the
+limit units that it holds. A missing holder of units therefore counts as terminated only with proof,
+or after the holding term, for which it may use its units without the store; see `HolderLiveness`.
 """
 
 from __future__ import annotations
@@ -31,27 +31,27 @@
     from vanillawell.protocol.store import Store
     from vanillawell.telemetry import Telemetry
 
-RETRY_PAUSE = 0.6
-"""Seconds between two tries to reach a store that is down."""
+RETRY_INTERVAL = 0.6
+"""Seconds between two attempts to reach a store that is down."""
 
-ENTRIES_PER_SECOND = 4.0
-"""Bounds how often the list is read as the fleet grows: its size over this, in seconds."""
+MAX_ENTRIES_READ_PER_SECOND = 4.0
+"""Maximum entries read per second; the poll interval of the member list grows with its length."""
 
-PROOF_INTERVAL = 1.0
-"""Seconds between two questions to the platform about missing holders."""
+PLATFORM_QUERY_INTERVAL = 1.0
+"""Minimum seconds between two queries to the platform about missing holders."""
 
 WATCHERS_PER_ZONE = 2
-"""Entries of each zone that follow the store for the others."""
+"""Entries of each zone that watch the store on behalf of the others."""
 
 
 class HolderLiveness:
-    """Decide when a holder of limit units, and all it may have started, has ended.
+    """Decide when a holder of limit units and all requests that it may have started have ended.
 
-    A holder that is merely cut off goes on using its units until its own term runs out. If its
-    units were given away before, an organisation would exceed its limit; one would notice only by
-    counting at the backend servers. Proof of an earlier end is a newer run of the same instance,
-    since the old process must have ended before the new one could bind its address; or the
-    platform's word that the instance is gone for good.
+    A holder that is only cut off continues to use its units until its holding term expires. If its
+    units were reassigned before that, an organisation would exceed its limit, which would be
+    visible only in counts at the backend servers. Proof of an earlier end is a newer incarnation of
+    the same instance, since the old process must have ended before the new one could bind its
+    address, or the platform's confirmation that the instance has been removed.
     """
 
     def __init__(self, timing: TimingSettings) -> None:
@@ -62,10 +62,10 @@
         self._observed_at = 0.0
         self._present: set[str] = set()
         self._instances: set[str] = set()
-        self._gone: set[str] = set()
+        self._removed: set[str] = set()
 
     def observe(self, present: Iterable[Presence], now: float) -> None:
-        """Take over a list of presence whose reading began at `now`."""
+        """Update from a presence list whose read began at `now`."""
         members = list(present)
         self._observed_at = now
         self._present = {member.holder for member in members}
@@ -74,42 +74,42 @@
             self._missing_since.pop(holder, None)
 
     def ended(self, holders: Iterable[str]) -> set[str]:
-        """Return those holders whose units are provably out of use.
+        """Return the holders whose units are provably not in use any more.
 
-        Time counts only up to the last list: a holder that registered again since then, within
-        its term, is alive although this entry has not heard of it.
+        Only the time up to the last read of the list counts: a holder that has registered again
+        since then, within its term, is active although it is not in that list.
         """
         missing = [holder for holder in holders if holder not in self._present]
         for holder in missing:
             self._missing_since.setdefault(holder, self._observed_at)
-        return {holder for holder in missing if self._observed_at >= self._end_of(holder)}
+        return {holder for holder in missing if self._observed_at >= self._latest_end(holder)}
 
-    def unproven(self) -> set[str]:
-        """Return the instances of missing holders whose end nothing has proved yet."""
+    def unconfirmed_instances(self) -> set[str]:
+        """Return the instances of missing holders without proof that they have terminated."""
         instances = {holder.partition("/")[0] for holder in self._missing_since}
-        return instances - self._instances - self._gone
+        return instances - self._instances - self._removed
 
-    def unaccounted(self, holders: Iterable[str]) -> set[str]:
-        """Return those missing holders that may still send requests."""
+    def possibly_active(self, holders: Iterable[str]) -> set[str]:
+        """Return the missing holders that may still send requests."""
         missing = set(holders) - self._present
         return missing - self.ended(missing)
 
-    def note_gone(self, instance: str, now: float) -> None:
-        """Take the platform's word that an instance is gone; what it sent may still run."""
-        self._gone.add(instance)
+    def mark_removed(self, instance: str, now: float) -> None:
+        """Record that the platform has removed an instance; requests that it sent may still run."""
+        self._removed.add(instance)
         for holder in self._missing_since:
             if holder.partition("/")[0] == instance:
                 self._missing_since[holder] = now
 
-    def _end_of(self, holder: str) -> float:
+    def _latest_end(self, holder: str) -> float:
         instance = holder.partition("/")[0]
-        proved = instance in self._instances or instance in self._gone
-        wait = self._after_proof if proved else self._without_proof
+        termination_proved = instance in self._instances or instance in self._removed
+        wait = self._after_proof if termination_proved else self._without_proof
         return self._missing_since[holder] + wait
 
 
 class Membership:
-    """Own this entry's presence and the list of all others'."""
+    """Maintain this entry's presence and the list of all entries."""
 
     def __init__(
         self,
@@ -130,9 +130,9 @@
         self._telemetry = telemetry
         self._lease = 0
         self._members: dict[str, Presence] = {me.instance: me}
-        self._ends = HolderLiveness(timing)
+        self._liveness = HolderLiveness(timing)
         self._valid_until = 0.0
-        self._observed = False
+        self._list_read = False
         self._listeners: list[Callable[[], None]] = []
 
     @property
@@ -142,21 +142,21 @@
 
     @property
     def lease(self) -> int:
-        """Return the lease of this entry's presence; 0 while it has none."""
+        """Return the lease of this entry's presence, or 0 while it has none."""
         return self._lease
 
     @property
     def members(self) -> dict[str, Presence]:
-        """Return all known entries by instance, this one included."""
+        """Return all known entries by instance, including this one."""
         return self._members
 
     @property
     def valid_until(self) -> float:
-        """Return until when this entry may use its limit units without the store."""
+        """Return the time until which this entry may use its limit units without the store."""
         return self._valid_until
 
     def on_change(self, listener: Callable[[], None]) -> None:
-        """Call `listener` after each change of the list."""
+        """Call `listener` after each change of the member list."""
         self._listeners.append(listener)
 
     def in_zone(self, zone: str) -> list[Presence]:
@@ -172,42 +172,42 @@
         return {zone: self.in_zone(zone) for zone in names}
 
     def is_watcher(self) -> bool:
-        """Tell whether this entry is one of its zone's first."""
+        """Return whether this entry is one of the first of its zone, which watch the store."""
         first = itertools.islice(self.in_zone(self._me.zone), WATCHERS_PER_ZONE)
         return self._me in first
 
     def ended(self, holders: Iterable[str]) -> set[str]:
-        """Return those holders of limit units that have provably ended."""
-        return self._ends.ended(holders) if self._observed else set()
+        """Return the holders of limit units that have provably terminated."""
+        return self._liveness.ended(holders) if self._list_read else set()
 
-    def unaccounted(self, holders: Iterable[str]) -> set[str]:
-        """Return those holders of limit units that are missing and may still send requests.
+    def possibly_active(self, holders: Iterable[str]) -> set[str]:
+        """Return the holders of limit units that are not listed but may still send requests.
 
-        An entry that is cut off from the store drops out of the list while it goes on serving
-        with the units it holds; one without units cannot send anything.
+        An entry that is cut off from the store drops out of the list while it continues to serve
+        with the units that it holds; an entry without units cannot send requests.
         """
-        return self._ends.unaccounted(set(holders) - {self._me.holder})
+        return self._liveness.possibly_active(set(holders) - {self._me.holder})
 
-    def learn(self, member: Presence) -> None:
-        """Take over an entry that introduced itself, for times when the store is down."""
+    def add_discovered(self, member: Presence) -> None:
+        """Add an entry known from its heartbeat; during store outages the list shows no new ones."""
         if member.instance not in self._members:
             self._members[member.instance] = member
             self._notify()
 
     async def run(self) -> None:
-        """Keep presence and list up to date until cancelled."""
+        """Maintain the presence and the member list until cancelled."""
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._keep_presence)
-            tasks.start_soon(self._keep_list)
+            tasks.start_soon(self._maintain_presence)
+            tasks.start_soon(self._maintain_list)
             if self._platform:
-                tasks.start_soon(self._look_for_proof, self._platform)
+                tasks.start_soon(self._query_missing_holders, self._platform)
 
     async def leave(self) -> None:
-        """End the lease, so that others see at once that this entry has gone."""
+        """Revoke the lease, so that other entries see immediately that this entry has left."""
         if self._lease:
             await self._store.revoke(self._lease)
 
-    async def _keep_presence(self) -> None:
+    async def _maintain_presence(self) -> None:
         while True:
             try:
                 await self._renew()
@@ -215,18 +215,18 @@
                 await anyio.sleep(self._settings.lease_ttl / 3)
             except StoreError as error:
                 self._telemetry.state("store", "unreachable", logging.WARNING)
-                logging.getLogger(__name__).debug("store: %s", error)
-                await anyio.sleep(RETRY_PAUSE)
+                logging.getLogger(__name__).debug("store call failed: %s", error)
+                await anyio.sleep(RETRY_INTERVAL)
 
     async def _renew(self) -> None:
-        """Renew the lease, or register anew if it has ended.
+        """Renew the lease, or register again if it has expired.
 
-        The term counts from before the call was sent: the store may have renewed the lease at
-        any time after that, and others count from its end.
+        The term is counted from before the call was sent: the store may have renewed the lease at
+        any time after that, and other entries count from the end of the lease.
         """
         sent = clock.read()
         if self._valid_until and sent >= self._valid_until:
-            self._drop_identity()
+            self._change_identity()
         if not self._lease or not await self._store.keep_alive(self._lease):
             self._lease = 0
             lease = await self._store.grant_lease(self._settings.lease_ttl)
@@ -237,12 +237,12 @@
         term = self._timing.holding_term * (1 - self._timing.clock_drift)
         self._valid_until = sent + term
 
-    def _drop_identity(self) -> None:
-        """Go on as a new holder after the term has lapsed, for instance during a pause.
+    def _change_identity(self) -> None:
+        """Continue as a new holder after the term has expired, for example during a pause.
 
-        Others may be taking over the old holder's units at this moment, by writes that a read
-        of the ledgers would not show yet. Under a new name this entry holds nothing, and the
-        old units come back by the same rule as those of a process that was replaced.
+        Other entries may be reassigning the old holder's units at this moment, by writes that a
+        read of the ledgers does not show yet. Under a new holder name this entry holds no units,
+        and the old ones are recovered in the same way as those of a replaced process.
         """
         self._me = replace(self._me, incarnation=uuid.uuid4().hex[:12])
         self._members[self._me.instance] = self._me
@@ -250,40 +250,44 @@
         self._telemetry.state("term", f"lapsed, now {self._me.incarnation}", logging.WARNING)
         self._notify()
 
-    async def _keep_list(self) -> None:
+    async def _maintain_list(self) -> None:
         while True:
             try:
                 await self._read_list()
-                pause = max(self._settings.poll_interval, len(self._members) / ENTRIES_PER_SECOND)
+                interval = max(
+                    self._settings.poll_interval, len(self._members) / MAX_ENTRIES_READ_PER_SECOND
+                )
             except StoreError:
-                pause = RETRY_PAUSE
-            await anyio.sleep(pause)
+                interval = RETRY_INTERVAL
+            await anyio.sleep(interval)
 
-    async def _look_for_proof(self, platform: PlatformCalls) -> None:
-        """Ask the platform about missing holders, so that their units come back early.
+    async def _query_missing_holders(self, platform: PlatformCalls) -> None:
+        """Query the platform about missing holders, so that their units are recovered early.
 
-        An instance that is replaced under another name never registers again, and its units
-        would be out of use for the whole term.
+        An instance that is replaced under another name never registers again, and its units would
+        be unused for the whole term.
         """
         while True:
-            await anyio.sleep(max(PROOF_INTERVAL, len(self._members) / ENTRIES_PER_SECOND))
-            for instance in sorted(self._ends.unproven()):
+            await anyio.sleep(
+                max(PLATFORM_QUERY_INTERVAL, len(self._members) / MAX_ENTRIES_READ_PER_SECOND)
+            )
+            for instance in sorted(self._liveness.unconfirmed_instances()):
                 try:
-                    gone = await platform.is_gone(instance)
+                    removed = await platform.is_gone(instance)
                 except PlatformUnavailableError:
                     break
-                if gone:
-                    self._ends.note_gone(instance, clock.read())
-                    self._telemetry.state(f"entry {instance}", "gone, says the platform")
+                if removed:
+                    self._liveness.mark_removed(instance, clock.read())
+                    self._telemetry.state(f"entry {instance}", "removed, confirmed by the platform")
 
     async def _read_list(self) -> None:
-        asked = clock.read()
+        requested_at = clock.read()
         listing = await self._store.list(self._keys.all_presence)
         self._telemetry.store_calls.inc({"task": "members", "result": "ok"})
-        found = [Presence.from_bytes(item.value) for item in listing.items]
-        self._ends.observe(found, asked)
-        self._observed = True
-        members = {member.instance: member for member in found}
+        listed = [Presence.from_bytes(item.value) for item in listing.items]
+        self._liveness.observe(listed, requested_at)
+        self._list_read = True
+        members = {member.instance: member for member in listed}
         members[self._me.instance] = self._me
         if members != self._members:
             self._members = members
--- a/vanillawell/coordination/peers.py
+++ b/vanillawell/coordination/peers.py
@@ -1,8 +1,9 @@
-"""Exchange heartbeats with other entries: demand, configuration versions, freshness.
+"""Exchange heartbeats with other entries: demand, configuration versions and freshness.
 
-Each entry sends to those of its zone. The first entry of each zone also sends the zone's sum to
-the first ones of the other zones, which pass it on inside theirs; so messages grow with zones,
-not with pairs of entries. A byte budget stretches the interval when the fleet grows.
+Each entry sends heartbeats to the other entries of its zone. The watchers of a zone also send the
+zone's total to the first entries of other zones, which relay it within their zone. The number of
+messages therefore grows with the number of zones, not with pairs of entries. A byte budget
+lengthens the interval as the fleet grows.
 """
 
 from __future__ import annotations
@@ -43,20 +44,20 @@
     from vanillawell.state.board import DemandBoard
     from vanillawell.telemetry import Telemetry
 
-BYTES_PER_SECOND = 3_500.0
-"""Budget for heartbeats sent, below the 4 KB a second that control may cost."""
+MAX_HEARTBEAT_BYTES_PER_SECOND = 3_500.0
+"""Budget for sent heartbeats; control traffic as a whole may use 4 KB per second."""
 
 ENTRIES_PER_REMOTE_ZONE = 2
-"""Entries of each other zone that hear a zone's sum, so that one may be down."""
+"""Entries of each other zone that receive a zone's total, so that one of them may be down."""
 
-RECONNECT_PAUSE = 0.2
-"""Seconds between two tries to reach a peer."""
+RECONNECT_INTERVAL = 0.2
+"""Seconds between two attempts to connect to a peer."""
 
-TRIES_OFF_THE_LIST = 4
-"""Peer timeouts without an answer after which a peer that is off the list is given up; a silent
-connection is found and replaced within two."""
+UNLISTED_PEER_TIMEOUTS = 4
+"""Peer timeouts without an acknowledgement after which the link to an unlisted peer is closed; an
+unresponsive connection is detected and replaced within two."""
 
-BROKEN = (
+CONNECTION_ERRORS = (
     OSError,
     TimeoutError,
     anyio.EndOfStream,
@@ -65,12 +66,12 @@
     anyio.ClosedResourceError,
     PeerProtocolError,
 )
-"""Errors after which a peer connection is dropped and opened anew."""
+"""Errors after which a peer connection is closed and opened again."""
 
 
 @dataclass(frozen=True, slots=True)
 class PeerAddress:
-    """Where a peer is reached; a new address is a new link."""
+    """Address of a peer; each address has its own link."""
 
     host: str
     port: int
@@ -79,21 +80,21 @@
 
 @dataclass(slots=True)
 class Link:
-    """A connection that is kept open to a peer."""
+    """State of the connection that is maintained to a peer."""
 
     scope: anyio.CancelScope
-    answered: float
-    """When the peer last acknowledged a heartbeat; when the link was opened, before the first."""
+    acknowledged_at: float
+    """Time of the last acknowledged heartbeat, or of opening the link before the first one."""
 
     wanted: bool = True
-    """Whether this entry should speak with the peer, by the list of members."""
+    """Whether this entry should connect to the peer according to the member list."""
 
-    joined: bool = False
-    """Whether the peer has ever been on that list; a seed may be an address that none has."""
+    was_listed: bool = False
+    """Whether the peer was ever in the member list; a seed address may not belong to any entry."""
 
 
 class Peers:
-    """Own all connections to other entries."""
+    """Manage all connections to other entries."""
 
     def __init__(
         self,
@@ -107,7 +108,7 @@
         local_host: str,
         names: Callable[[], NameTable],
         own_rows: Callable[[float], Iterable[Row]],
-        heard: Callable[[set[str]], None],
+        on_demand_reports: Callable[[set[str]], None],
     ) -> None:
         self._tasks = tasks
         self._membership = membership
@@ -120,70 +121,71 @@
         self._local_host = local_host
         self._names = names
         self._own_rows = own_rows
-        self._heard = heard
+        self._on_demand_reports = on_demand_reports
         self._links: dict[PeerAddress, Link] = {}
         self._seeds: list[PeerAddress] = []
         self._push = anyio.Event()
         self._direct_zones: set[str] = set()
-        self._last_size = 200.0
+        self._last_heartbeat_size = 200.0
 
     def add_seeds(self, seeds: Iterable[PeerAddress]) -> None:
-        """Also dial these addresses while no other entry is known."""
+        """Set addresses to connect to while no other entry is known."""
         self._seeds = list(seeds)
         self.update_links()
 
     def update_links(self) -> None:
-        """Open links to new members and close those to gone ones.
+        """Open links to new members and close those to entries that have terminated.
 
-        An entry that has lost the store leaves the list while it goes on serving. If it cannot
-        open connections either, all that it hears comes over links that others keep to it.
+        An entry that has lost the store drops out of the member list while it continues to serve.
+        If it cannot open connections either, it receives updates only over links that other
+        entries maintain to it.
         """
         wanted = self._targets()
         for address, link in list(self._links.items()):
             link.wanted = address in wanted
-            link.joined |= address in self._listed()
-            if not link.wanted and not self._serves_off_the_list(address, link, clock.read()):
+            link.was_listed |= address in self._listed()
+            if not link.wanted and not self._is_active_unlisted(address, link, clock.read()):
                 self._close(address, link)
         for address in wanted - self._links.keys():
-            link = Link(anyio.CancelScope(), clock.read(), joined=address in self._listed())
+            link = Link(anyio.CancelScope(), clock.read(), was_listed=address in self._listed())
             self._links[address] = link
-            self._tasks.start_soon(self._dial, address, link)
+            self._tasks.start_soon(self._maintain_link, address, link)
 
     def _close(self, address: PeerAddress, link: Link) -> None:
         del self._links[address]
         link.scope.cancel()
 
-    def _serves_off_the_list(self, address: PeerAddress, link: Link, now: float) -> bool:
-        """Tell whether a peer has left the list but answers still, or did a moment ago."""
-        if address in self._listed() or not link.joined:
+    def _is_active_unlisted(self, address: PeerAddress, link: Link, now: float) -> bool:
+        """Return whether an unlisted peer has acknowledged a heartbeat recently."""
+        if address in self._listed() or not link.was_listed:
             return False
-        silent = now - link.answered
-        serves = silent <= self._interval() + TRIES_OFF_THE_LIST * self._timing.peer_timeout
+        silence = now - link.acknowledged_at
+        is_active = silence <= self._interval() + UNLISTED_PEER_TIMEOUTS * self._timing.peer_timeout
         subject = f"link to {address.host}:{address.port}"
-        self._telemetry.state(subject, "kept off the list" if serves else "given up")
-        return serves
+        self._telemetry.state(subject, "kept though unlisted" if is_active else "closed")
+        return is_active
 
     def push(self) -> None:
-        """Send heartbeats now, since there is something new to tell."""
+        """Send heartbeats immediately, because this entry has a new version to announce."""
         self._push.set()
         self._push = anyio.Event()
 
     def _targets(self) -> set[PeerAddress]:
         me = self._membership.me
         zones = self._membership.zones()
-        mates = [member for member in zones.get(me.zone, []) if member != me]
-        far = list(
+        zone_peers = [member for member in zones.get(me.zone, []) if member != me]
+        remote_peers = list(
             itertools.chain.from_iterable(
                 members[:ENTRIES_PER_REMOTE_ZONE]
                 for zone, members in zones.items()
                 if zone != me.zone
             )
         )
-        chosen = [*mates, *far] if self._membership.is_watcher() else mates
-        return self._addresses(chosen) if mates or far else set(self._seeds)
+        chosen = [*zone_peers, *remote_peers] if self._membership.is_watcher() else zone_peers
+        return self._addresses(chosen) if zone_peers or remote_peers else set(self._seeds)
 
     def _listed(self) -> set[PeerAddress]:
-        """Return the addresses of all members, also of those that others speak with."""
+        """Return the addresses of all members, including those without a link from this entry."""
         return self._addresses(self._membership.members.values())
 
     def _addresses(self, members: Iterable[Presence]) -> set[PeerAddress]:
@@ -193,59 +195,61 @@
             for member in members
         }
 
-    async def _dial(self, address: PeerAddress, link: Link) -> None:
+    async def _maintain_link(self, address: PeerAddress, link: Link) -> None:
         with link.scope:
-            while link.wanted or self._serves_off_the_list(address, link, clock.read()):
+            while link.wanted or self._is_active_unlisted(address, link, clock.read()):
                 try:
                     timeout = self._timing.peer_timeout
                     local = self._local_host
                     raw = await self._transport.dial(address.host, address.port, local, timeout)
                     stream = self._transport.wrap(raw, self._names, self._count)
                     async with raw:
-                        await self._beat_over(stream, address, link)
-                except BROKEN:
+                        await self._send_heartbeats(stream, address, link)
+                except CONNECTION_ERRORS:
                     name = f"peer {address.host}:{address.port}"
                     self._telemetry.state(name, "unreachable", logging.WARNING)
-                await anyio.sleep(RECONNECT_PAUSE)
+                await anyio.sleep(RECONNECT_INTERVAL)
             self._close(address, link)
 
-    async def _beat_over(self, stream: PeerLink, address: PeerAddress, link: Link) -> None:
-        """Send heartbeats and await each answer; silence ends the connection.
+    async def _send_heartbeats(self, stream: PeerLink, address: PeerAddress, link: Link) -> None:
+        """Send heartbeats and wait for each acknowledgement; a time-out ends the connection.
 
-        A connection that something in between has lost track of reports nothing. The missing
-        answer shows it, and a new connection takes its place.
+        A connection whose state was dropped by a device on the path reports no error. The missing
+        acknowledgement reveals it, and the connection is replaced.
         """
         while True:
             push = self._push
             with anyio.fail_after(self._timing.peer_timeout):
-                self._last_size = float(
-                    await stream.send(self._beat(clock.read(), address.same_zone))
+                self._last_heartbeat_size = float(
+                    await stream.send(self._heartbeat(clock.read(), address.same_zone))
                 )
-                await self._until_acknowledged(stream)
-            link.answered = clock.read()
-            # Not before: something in between may take connections and drop them at once, and each
-            # try would log two changes.
+                await self._receive_until_acknowledged(stream)
+            link.acknowledged_at = clock.read()
+            # Logged only after an acknowledgement: a proxy on the path may accept connections and
+            # close them immediately, and each attempt would log two state changes.
             self._telemetry.state(f"peer {address.host}:{address.port}", "connected")
             with anyio.move_on_after(self._interval()):
                 await push.wait()
 
     def _interval(self) -> float:
-        within_budget = len(self._links) * self._last_size / BYTES_PER_SECOND
+        within_budget = (
+            len(self._links) * self._last_heartbeat_size / MAX_HEARTBEAT_BYTES_PER_SECOND
+        )
         return max(self._timing.beat_interval, within_budget)
 
-    async def _until_acknowledged(self, stream: PeerLink) -> None:
+    async def _receive_until_acknowledged(self, stream: PeerLink) -> None:
         awaited = 1
         while awaited:
             message = await stream.receive()
             if isinstance(message, Acknowledgement):
-                awaited += await self._compare(stream, message.versions, message.fresh_age)
+                awaited += await self._request_newer(stream, message.versions, message.fresh_age)
                 awaited -= 1
             else:
                 await self._handle_document(stream, message)
                 awaited -= isinstance(message, DocumentReply)
 
     async def serve(self, raw: ByteStream) -> None:
-        """Answer one peer that has dialled this entry."""
+        """Serve a connection that a peer has opened to this entry."""
         stream = self._transport.wrap(raw, self._names, self._count)
         try:
             async with raw:
@@ -253,15 +257,15 @@
                     with anyio.fail_after(self._timing.peer_timeout + 4 * self._interval()):
                         message = await stream.receive()
                     await self._answer(stream, message)
-        except BROKEN:
+        except CONNECTION_ERRORS:
             return
 
     async def _answer(self, stream: PeerLink, message: Message) -> None:
         if not isinstance(message, Beat):
             await self._handle_document(stream, message)
             return
-        self._take_beat(message, clock.read())
-        await self._compare(stream, message.versions, message.fresh_age)
+        self._apply_heartbeat(message, clock.read())
+        await self._request_newer(stream, message.versions, message.fresh_age)
         age = self._configuration.fresh_age(clock.read())
         await stream.send(Acknowledgement(self._versions(), age))
 
@@ -269,12 +273,12 @@
         assignment = self._documents[DocumentKind.ASSIGNMENT]
         return Versions(self._configuration.version, assignment.version)
 
-    async def _compare(self, stream: PeerLink, theirs: Versions, fresh_age: float) -> int:
-        """Ask for each document that the peer has newer; return how many."""
+    async def _request_newer(self, stream: PeerLink, theirs: Versions, fresh_age: float) -> int:
+        """Request each document of which the peer has a newer version; return their number."""
         newer = [
-            (kind, mine.version)
-            for kind, mine in self._documents.items()
-            if theirs.of(kind) > mine.version
+            (kind, own.version)
+            for kind, own in self._documents.items()
+            if theirs.of(kind) > own.version
         ]
         for kind, have in newer:
             await stream.send(DocumentRequest(kind, have))
@@ -283,21 +287,21 @@
 
     async def _handle_document(self, stream: PeerLink, message: Message) -> None:
         if isinstance(message, DocumentRequest):
-            mine = self._documents[message.kind]
-            await stream.send(DocumentReply(message.kind, mine.version, mine.document))
+            own = self._documents[message.kind]
+            await stream.send(DocumentReply(message.kind, own.version, own.document))
         elif isinstance(message, DocumentReply) and message.version:
             self._documents[message.kind].apply(message.document)
 
-    def _take_beat(self, beat: Beat, now: float) -> None:
-        self._membership.learn(beat.sender)
+    def _apply_heartbeat(self, beat: Beat, now: float) -> None:
+        self._membership.add_discovered(beat.sender)
         organisations: set[str] = set()
         for report in beat.reports:
-            if self._accept(report, beat.sender, now):
+            if self._accept_report(report, beat.sender, now):
                 organisations.update(row.organisation for row in report.rows)
         if organisations:
-            self._heard(organisations)
+            self._on_demand_reports(organisations)
 
-    def _accept(self, report: SourceReport, sender: Presence, now: float) -> bool:
+    def _accept_report(self, report: SourceReport, sender: Presence, now: float) -> bool:
         me = self._membership.me
         if report.source in (me.instance, me.zone):
             return False
@@ -305,8 +309,8 @@
             self._direct_zones.add(report.source)
         return self._board.receive(report.source, report.entries, report.sequence, report.rows, now)
 
-    def _beat(self, now: float, same_zone: bool) -> Beat:
-        reports = self._reports_for_mates(now) if same_zone else [self._zone_sum(now)]
+    def _heartbeat(self, now: float, same_zone: bool) -> Beat:
+        reports = self._reports_for_zone_peers(now) if same_zone else [self._zone_sum(now)]
         return Beat(
             sender=self._membership.me,
             versions=self._versions(),
@@ -314,8 +318,8 @@
             reports=tuple(reports),
         )
 
-    def _reports_for_mates(self, now: float) -> list[SourceReport]:
-        """Return this entry's own rows, and what other zones told it directly."""
+    def _reports_for_zone_peers(self, now: float) -> list[SourceReport]:
+        """Return this entry's own rows, and the reports received directly from other zones."""
         rows = tuple(self._own_rows(now))
         own = SourceReport(self._membership.me.instance, 1, sequence_now(), rows)
         relayed = [
@@ -326,24 +330,24 @@
         return [own, *relayed]
 
     def _zone_sum(self, now: float) -> SourceReport:
-        """Return the sum of this entry and those of its zone that it hears from."""
+        """Return the total of this entry and of the entries of its zone that report to it."""
         me = self._membership.me
-        mates = {member.instance for member in self._membership.in_zone(me.zone)}
-        heard = [self._board.reports[name] for name in mates if name in self._board.reports]
-        rows = itertools.chain(self._own_rows(now), *(item.rows.values() for item in heard))
-        return SourceReport(me.zone, 1 + len(heard), sequence_now(), sum_rows(rows))
+        zone_peers = {member.instance for member in self._membership.in_zone(me.zone)}
+        reports = [self._board.reports[name] for name in zone_peers if name in self._board.reports]
+        rows = itertools.chain(self._own_rows(now), *(item.rows.values() for item in reports))
+        return SourceReport(me.zone, 1 + len(reports), sequence_now(), sum_rows(rows))
 
     def _count(self, direction: str, size: int) -> None:
         self._telemetry.peer_bytes.add({"direction": direction}, size)
 
 
 def sequence_now() -> int:
-    """Return a number that rises with each report, also over restarts: wall milliseconds."""
+    """Return a number that increases with each report, also across restarts: Unix milliseconds."""
     return int(time.time() * 1000)
 
 
 def sum_rows(rows: Iterable[Row]) -> tuple[Row, ...]:
-    """Add up rows of several sources by pool and organisation."""
+    """Sum the rows of several sources by pool and organisation."""
     demand: Counter[tuple[str, str]] = Counter()
     used: Counter[tuple[str, str]] = Counter()
     for row in rows:
--- a/vanillawell/coordination/planner.py
+++ b/vanillawell/coordination/planner.py
@@ -1,7 +1,7 @@
-"""Carry out moves and maintenance waves, in the one entry that holds the planner's role.
+"""Carry out instance moves and maintenance waves on the one entry that holds the planner role.
 
-The role is a key under the entry's lease. Every write of the assignment also requires the role's
-key to be unchanged, so an entry that was paused and replaced meanwhile cannot write.
+The role is a key bound to the entry's lease. Every write of the assignment also requires the key of
+the role to be unchanged, so an entry that was paused and has since been replaced cannot write.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 from vanillawell import clock
 from vanillawell.coordination.instance_list import InstanceListCache
-from vanillawell.coordination.role import NotHolderError, Role, act_while_held
+from vanillawell.coordination.role import NotHolderError, Role, run_while_held
 from vanillawell.protocol.calls import NoAnswerError, NotSentError
 from vanillawell.protocol.store import Compare, Put, Transaction
 from vanillawell.state.lending import Lending, LendingDesk
@@ -51,27 +51,27 @@
 
 log = logging.getLogger(__name__)
 
-OLDEST_LIST = 60.0
-"""Seconds by which the platform's list may lag before no new step is begun."""
+MAX_LIST_AGE = 60.0
+"""Maximum age in seconds of the platform's instance list at which new steps are begun."""
 
-LOOKS = 4
-"""Further looks in one round at instances that are leaving."""
+DRAIN_POLLS = 4
+"""Additional polls of draining instances per planning round."""
 
-LOOK_PAUSE = 0.1
-"""Seconds between them."""
+DRAIN_POLL_INTERVAL = 0.1
+"""Minimum seconds between these polls."""
 
-QUESTIONS_PER_SECOND = 100.0
-"""Bounds how often all entries are asked about a leaving instance, whatever their number."""
+MAX_STATUS_REQUESTS_PER_SECOND = 100.0
+"""Maximum requests per second to entries about a draining instance, in a fleet of any size."""
 
-INSTANCES_PER_SECOND = 2500.0
-"""Bounds the processor time of rounds, which grows with the instances."""
+MAX_INSTANCES_PER_SECOND = 2500.0
+"""Maximum instances planned per second; bounds the CPU time of rounds in large fleets."""
 
-ASK_TIMEOUT = 1.0
-"""Seconds an entry may take to say what it runs on an instance."""
+STATUS_TIMEOUT = 1.0
+"""Timeout in seconds of a request to an entry for what it runs on an instance."""
 
 
 class Planner:
-    """Plan and carry out steps while this entry holds the role."""
+    """Plan and carry out steps while this entry holds the planner role."""
 
     def __init__(
         self,
@@ -82,18 +82,18 @@
         configuration: ConfigurationSync,
         assignment: AssignmentSync,
         demand: Callable[[], Mapping[str, int]],
-        access: AdminCalls,
+        admin_calls: AdminCalls,
         timing: TimingSettings,
         telemetry: Telemetry,
     ) -> None:
-        self._access = access
+        self._admin_calls = admin_calls
         self._store = store
         self._keys = keys
         self._platform = platform
-        self._list = InstanceListCache(platform)
+        self._instance_list = InstanceListCache(platform)
         self._membership = membership
         self._configuration = configuration
-        self._follower = assignment
+        self._assignment = assignment
         self._demand = demand
         self._lending = LendingDesk()
         self._timing = timing
@@ -101,42 +101,48 @@
         self._role = Role(store, keys.planner, membership)
 
     async def run(self) -> None:
-        """Take the role when it is free and act while it is held, until cancelled."""
-        await act_while_held("planner", self._round, self._membership, self._telemetry)
+        """Acquire the role when it is free and plan while it is held, until cancelled."""
+        await run_while_held("planner", self._round, self._membership, self._telemetry)
 
     async def _round(self) -> None:
         policy, tree = self._configuration.policy, self._configuration.tree
         if policy is None or tree is None:
             raise NotHolderError
-        await self._role.hold()
-        await self._follower.check_store()
-        listed = await self._list.current(clock.read())
-        await self._advance(policy, _view(policy, tree, listed, self._follower.assignment))
-        if listed.age <= OLDEST_LIST:
-            await self._begin(policy, tree, listed)
-        await self._look_again(policy, tree, listed)
-        await anyio.sleep(len(listed.live) / INSTANCES_PER_SECOND)
-
-    async def _look_again(self, policy: Policy, tree: OperatorTree, listed: InstanceList) -> None:
-        """Go on soon with instances that are leaving; idle ones are drained at once.
-
-        An instance that moves towards a peak is of use only while the peak lasts.
+        await self._role.acquire()
+        await self._assignment.check_store()
+        instance_list = await self._instance_list.current(clock.read())
+        await self._advance(policy, _view(policy, tree, instance_list, self._assignment.assignment))
+        if instance_list.age <= MAX_LIST_AGE:
+            await self._begin_steps(policy, tree, instance_list)
+        await self._poll_draining(policy, tree, instance_list)
+        await anyio.sleep(len(instance_list.live) / MAX_INSTANCES_PER_SECOND)
+
+    async def _poll_draining(
+        self, policy: Policy, tree: OperatorTree, instance_list: InstanceList
+    ) -> None:
+        """Poll leaving instances at a short interval within a round; idle ones drain immediately.
+
+        An instance that is moved to a pool with peak load must arrive while the peak lasts.
         """
-        pause = max(LOOK_PAUSE, len(self._membership.members) / QUESTIONS_PER_SECOND)
-        for _ in range(LOOKS):
-            placements = self._follower.assignment.placements.values()
+        interval = max(
+            DRAIN_POLL_INTERVAL, len(self._membership.members) / MAX_STATUS_REQUESTS_PER_SECOND
+        )
+        for _ in range(DRAIN_POLLS):
+            placements = self._assignment.assignment.placements.values()
             if not any(item.phase is Phase.LEAVING for item in placements):
                 return
-            await anyio.sleep(pause)
-            await self._advance(policy, _view(policy, tree, listed, self._follower.assignment))
+            await anyio.sleep(interval)
+            await self._advance(
+                policy, _view(policy, tree, instance_list, self._assignment.assignment)
+            )
 
     async def _write(self, assignment: Assignment) -> None:
-        """Write the next assignment; raises NotHolderError if anything changed meanwhile."""
+        """Write the next assignment; raise NotHolderError if it or the role has changed."""
         document = assignment.to_bytes()
         transaction = Transaction(
             compares=[
                 self._role.guard,
-                Compare(self._keys.assignment, self._follower.revision),
+                Compare(self._keys.assignment, self._assignment.revision),
             ],
             puts=[Put(self._keys.assignment, document)],
             reads=[self._keys.assignment],
@@ -144,15 +150,19 @@
         )
         result = await self._store.transact(transaction)
         if self._keys.assignment in result.values:
-            self._follower.take(result.values[self._keys.assignment])
+            self._assignment.apply_stored(result.values[self._keys.assignment])
         if not result.succeeded:
             raise NotHolderError
 
-    async def _begin(self, policy: Policy, tree: OperatorTree, listed: InstanceList) -> None:
-        """Reserve steps, each checked against the assignment that its write requires."""
-        needs = self._needs(_view(policy, tree, listed, self._follower.assignment), policy)
+    async def _begin_steps(
+        self, policy: Policy, tree: OperatorTree, instance_list: InstanceList
+    ) -> None:
+        """Begin new steps; each write requires the assignment that the step was checked against."""
+        needs = self._needs(_view(policy, tree, instance_list, self._assignment.assignment), policy)
         while True:
-            view = replace(_view(policy, tree, listed, self._follower.assignment), needs=needs)
+            view = replace(
+                _view(policy, tree, instance_list, self._assignment.assignment), needs=needs
+            )
             steps = next_steps(view, time.time())
             if not steps:
                 return
@@ -160,7 +170,7 @@
             self._log(steps[0])
 
     def _needs(self, view: FleetView, policy: Policy) -> dict[str, PoolNeed]:
-        """Return the instances beyond their own that pools need for their demand."""
+        """Return how many borrowed instances each pool needs for its demand."""
         now = clock.read()
         demand = self._demand()
         own = Counter(home.pool for name, home in view.homes.items() if name in view.live)
@@ -187,7 +197,7 @@
         await self._write(view.assignment.with_placement(instance, placement, home))
 
     async def _advance(self, policy: Policy, view: FleetView) -> None:
-        """Bring every step under way as far as it can go."""
+        """Advance every step in progress as far as possible."""
         for instance, placement in list(view.assignment.placements.items()):
             if instance not in view.homes:
                 continue
@@ -197,70 +207,71 @@
                 await self._advance_rebooting(instance, placement, view.live)
 
     async def _advance_leaving(self, policy: Policy, instance: str, placement: Placement) -> None:
-        bound = policy.pools[placement.pool].drain_bound + self._timing.longest_request
-        overdue = time.time() - placement.since > bound
+        timeout = policy.pools[placement.pool].drain_bound + self._timing.longest_request
+        overdue = time.time() - placement.since > timeout
         if not overdue and not await self._drained(instance):
             return
         now = time.time()
         if placement.target:
-            following = Placement(placement.target, Phase.SERVING, "", now)
+            next_placement = Placement(placement.target, Phase.SERVING, "", now)
         else:
-            following = Placement(placement.pool, Phase.REBOOTING, "", now)
-        await self._change(instance, following)
+            next_placement = Placement(placement.pool, Phase.REBOOTING, "", now)
+        await self._change(instance, next_placement)
 
     async def _advance_rebooting(
         self, instance: str, placement: Placement, live: frozenset[str]
     ) -> None:
-        """Ask for the reboot until it is done and the list shows the instance as live again."""
-        wave = self._follower.assignment.wave
+        """Request the reboot until it is done and the instance list shows the instance as live."""
+        wave = self._assignment.assignment.wave
         done = await self._platform.reboot(wave.operation(instance), instance)
         if not done or instance not in live:
             return
-        await self._change(instance, Placement(placement.pool, Phase.SERVING), finished=True)
+        await self._change(instance, Placement(placement.pool, Phase.SERVING), rebooted=True)
 
-    async def _change(self, instance: str, placement: Placement, finished: bool = False) -> None:
+    async def _change(self, instance: str, placement: Placement, rebooted: bool = False) -> None:
         tree = self._configuration.tree
         assert tree is not None
-        home = _homes(tree, self._follower.assignment)[instance].pool
-        changed = self._follower.assignment.with_placement(instance, placement, home)
-        if finished:
-            changed = _finish(changed, instance)
+        home = _homes(tree, self._assignment.assignment)[instance].pool
+        changed = self._assignment.assignment.with_placement(instance, placement, home)
+        if rebooted:
+            changed = _mark_rebooted(changed, instance)
         await self._write(changed)
 
     async def _drained(self, instance: str) -> bool:
-        """Ask all entries whether they have the assignment and run nothing on the instance.
+        """Return whether all entries have the assignment and run nothing on the instance.
 
-        An entry in a zone that is cut off has left the list of members, has not heard of the
-        move, and goes on sending. Asking only those on the list would give its instance away
-        under it, and callers would see their requests cut. So the ledgers are read for holders
-        of limit units that are off the list, and they count as not having confirmed.
+        An entry in a zone that is cut off drops out of the member list, does not receive the
+        assignment and continues to send requests. If only listed members were asked, the instance
+        would be reassigned while that entry uses it, and requests would be cut off. The ledgers
+        are therefore checked for holders of limit units that are not listed; while such a holder
+        may be active, the instance does not count as drained.
         """
-        version = self._follower.version
-        answers: list[bool] = []
+        version = self._assignment.version
+        drained: list[bool] = []
         async with anyio.create_task_group() as tasks:
             for member in self._membership.members.values():
-                tasks.start_soon(self._ask, member, instance, version, answers)
-        return all(answers) and not self._membership.unaccounted(await self._holders())
+                tasks.start_soon(self._query_entry, member, instance, version, drained)
+        return all(drained) and not self._membership.possibly_active(await self._holders())
 
     async def _holders(self) -> set[str]:
-        """Return all who hold units of any organisation's limit, by the store's ledgers of now."""
+        """Return all holders of units of any limit, read from the ledgers in the store."""
         listing = await self._store.list(self._keys.all_ledgers)
         ledgers = (Ledger.from_bytes(item.value) for item in listing.items)
         return set(itertools.chain.from_iterable(ledger.holders for ledger in ledgers))
 
-    async def _ask(
-        self, member: Presence, instance: str, version: int, answers: list[bool]
+    async def _query_entry(
+        self, member: Presence, instance: str, version: int, drained: list[bool]
     ) -> None:
-        async with self._access.client(member) as client:
+        async with self._admin_calls.client(member) as client:
             try:
-                answer = await client.get(f"/executors/{instance}", ASK_TIMEOUT)
+                answer = await client.get(f"/executors/{instance}", STATUS_TIMEOUT)
             except (NotSentError, NoAnswerError):
-                answers.append(False)
+                drained.append(False)
                 return
-        answers.append(answer["assignment"] >= version and answer["running"] == 0)
+        drained.append(answer["assignment"] >= version and answer["running"] == 0)
 
 
-def _finish(assignment: Assignment, instance: str) -> Assignment:
+def _mark_rebooted(assignment: Assignment, instance: str) -> Assignment:
     wave = assignment.wave
     remaining = tuple(name for name in wave.remaining if name != instance)
     state = wave.state if remaining else WaveState.DONE
@@ -277,12 +288,12 @@
 
 
 def _view(
-    policy: Policy, tree: OperatorTree, listed: InstanceList, assignment: Assignment
+    policy: Policy, tree: OperatorTree, instance_list: InstanceList, assignment: Assignment
 ) -> FleetView:
     return FleetView(
         homes=_homes(tree, assignment),
         budgets={name: pool.budget for name, pool in policy.pools.items()},
         spare_pools=frozenset(name for name, pool in policy.pools.items() if not pool.service),
-        live=listed.live,
+        live=instance_list.live,
         assignment=assignment,
     )
--- a/vanillawell/coordination/role.py
+++ b/vanillawell/coordination/role.py
@@ -1,4 +1,4 @@
-"""Hold a role that one entry has at a time, by a key in the store under its lease."""
+"""Acquire a role that one entry holds at a time, using a key in the store bound to its lease."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import anyio
 
-from vanillawell.coordination.membership import ENTRIES_PER_SECOND
+from vanillawell.coordination.membership import MAX_ENTRIES_READ_PER_SECOND
 from vanillawell.exceptions import StoreError
 from vanillawell.protocol.platform_calls import PlatformUnavailableError
 from vanillawell.protocol.store import Compare, Put, Transaction
@@ -19,11 +19,11 @@
     from vanillawell.protocol.store import Store
     from vanillawell.telemetry import Telemetry
 
-PAUSE = 0.5
-"""Seconds between two rounds of an entry that holds a role."""
+ROUND_INTERVAL = 0.5
+"""Seconds between two rounds of the entry that holds a role."""
 
-PASSIVE_PAUSE = 2.0
-"""Seconds after which an entry without the role looks again whether it is free."""
+PASSIVE_POLL_INTERVAL = 2.0
+"""Minimum seconds between two checks whether the role is free."""
 
 
 class NotHolderError(Exception):
@@ -31,11 +31,11 @@
 
 
 class Role:
-    """One role.
+    """A role that at most one entry holds.
 
-    An entry that was paused may believe that it still holds the role. So nothing follows from
-    the belief: every write that the role allows requires `guard`, and the store refuses it once
-    another entry has taken over.
+    An entry that was paused may incorrectly assume that it still holds the role. Every write that
+    depends on the role must therefore contain the comparison `guard`, which makes the store refuse
+    the write once another entry has taken over.
     """
 
     def __init__(self, store: Store, key: str, membership: Membership) -> None:
@@ -46,19 +46,19 @@
 
     @property
     def guard(self) -> Compare:
-        """Return the comparison that a write under this role must contain."""
+        """Return the comparison that every write under this role must contain."""
         return Compare(self._key, self._revision)
 
-    async def hold(self) -> None:
-        """Take the role if nobody has it; raises NotHolderError if somebody else does."""
+    async def acquire(self) -> None:
+        """Acquire the role if it is free; raise NotHolderError if another entry holds it."""
         if not self._membership.lease:
             raise NotHolderError
-        found = await self._store.get(self._key)
+        stored = await self._store.get(self._key)
         me = self._membership.me.holder.encode()
-        if found is not None and found.value == me:
-            self._revision = found.mod_revision
+        if stored is not None and stored.value == me:
+            self._revision = stored.mod_revision
             return
-        if found is not None:
+        if stored is not None:
             raise NotHolderError
         put = Put(self._key, me, self._membership.lease)
         result = await self._store.transact(
@@ -69,13 +69,13 @@
         self._revision = result.revision
 
 
-async def act_while_held(
+async def run_while_held(
     name: str, act: Callable[[], Awaitable[None]], membership: Membership, telemetry: Telemetry
 ) -> None:
-    """Call `act` again and again until cancelled; it takes the role first, if that is free.
+    """Call `act` repeatedly until cancelled; `act` itself acquires the role if it is free.
 
-    Entries without the role look less often in a larger fleet, so that the store's load from
-    looking stays the same.
+    Entries without the role poll less often in a larger fleet, so that the load on the store does
+    not grow with the number of entries.
     """
     while True:
         try:
@@ -84,7 +84,7 @@
         except NotHolderError:
             telemetry.state(name, "passive")
             entries = len(membership.members)
-            await anyio.sleep(max(PASSIVE_PAUSE, entries / ENTRIES_PER_SECOND))
+            await anyio.sleep(max(PASSIVE_POLL_INTERVAL, entries / MAX_ENTRIES_READ_PER_SECOND))
         except (StoreError, PlatformUnavailableError) as error:
             telemetry.state(name, f"waiting: {error}", logging.WARNING)
-        await anyio.sleep(PAUSE)
+        await anyio.sleep(ROUND_INTERVAL)
--- a/vanillawell/tests/planner_tests.py
+++ b/vanillawell/tests/planner_tests.py
@@ -1,4 +1,4 @@
-"""Check that a planner which was replaced in mid-step cannot write."""
+"""Test that a planner that was replaced during a step cannot write."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class LeasedMember:
-    """Membership as far as a planner uses it."""
+    """Minimal membership for a planner."""
 
     def __init__(self, me: Presence) -> None:
         self.me = me
@@ -35,74 +35,74 @@
     member: Any = LeasedMember(presence(name))
     anything: Any = None
     plain: Any = store
-    follower = AssignmentSync(plain, KEYS, member, store_settings(1), Telemetry())
+    assignment_sync = AssignmentSync(plain, KEYS, member, store_settings(1), Telemetry())
     planner = Planner(
         plain,
         KEYS,
         anything,
         member,
         anything,
-        follower,
+        assignment_sync,
         dict,
         AdminAccess(),
         timing(),
         Telemetry(),
     )
-    return planner, follower
+    return planner, assignment_sync
 
 
 def assignment(version: int, instance: str) -> Assignment:
     return Assignment(version, {instance: Placement("pool-a", Phase.LEAVING)})
 
 
-def test_a_planner_that_was_paused_while_another_took_over_writes_nothing() -> None:
-    """A planner is paused between its check and its write; its lease ends, another one plans.
+def test_a_paused_planner_cannot_write_after_another_took_over() -> None:
+    """A planner is paused between check and write; its lease expires and another takes over.
 
-    If its write went through, both would have an instance of the same pool away, and the pool
+    If its write succeeded, both planners would remove an instance of the same pool, and the pool
     could fall below its budget.
     """
     store = RacyStore()
-    first, first_follower = planner_of(store, "entry-1")
-    second, second_follower = planner_of(store, "entry-2")
+    first, first_sync = planner_of(store, "entry-1")
+    second, second_sync = planner_of(store, "entry-2")
 
-    async def play() -> None:
-        await first._role.hold()
-        await first_follower.check_store()
+    async def run_script() -> None:
+        await first._role.acquire()
+        await first_sync.check_store()
         store.delete(KEYS.planner)
-        await second._role.hold()
-        await second_follower.check_store()
+        await second._role.acquire()
+        await second_sync.check_store()
         with pytest.raises(NotHolderError):
             await first._write(assignment(1, "a1"))
         await second._write(assignment(1, "a2"))
 
-    anyio.run(play)
-    assert list(second_follower.assignment.placements) == ["a2"]
+    anyio.run(run_script)
+    assert list(second_sync.assignment.placements) == ["a2"]
 
 
-def test_a_step_checked_against_an_older_assignment_is_not_written() -> None:
+def test_a_step_checked_against_an_outdated_assignment_is_not_written() -> None:
     """An operator starts a move between a planner's check and its write."""
     store = RacyStore()
-    planner, follower = planner_of(store, "entry-1")
+    planner, assignment_sync = planner_of(store, "entry-1")
 
-    async def play() -> None:
-        await planner._role.hold()
-        await follower.check_store()
+    async def run_script() -> None:
+        await planner._role.acquire()
+        await assignment_sync.check_store()
         store.put(KEYS.assignment, assignment(1, "b1").to_bytes())
         with pytest.raises(NotHolderError):
             await planner._write(assignment(1, "a1"))
 
-    anyio.run(play)
-    assert list(follower.assignment.placements) == ["b1"]
+    anyio.run(run_script)
+    assert list(assignment_sync.assignment.placements) == ["b1"]
 
 
-def test_only_one_of_two_planners_gets_the_role() -> None:
+def test_only_one_planner_acquires_the_role() -> None:
     store = RacyStore()
     first, _ = planner_of(store, "entry-1")
     second, _ = planner_of(store, "entry-2")
 
-    async def play() -> None:
-        await first._role.hold()
+    async def run_script() -> None:
+        await first._role.acquire()
         with pytest.raises(NotHolderError):
-            await second._role.hold()
+            await second._role.acquire()
 
-    anyio.run(play)
+    anyio.run(run_script)
--- a/vanillawell/tests/silence_proof_tests.py
+++ b/vanillawell/tests/silence_proof_tests.py
@@ -109,7 +109,7 @@
     with running_fleet(tmp_path, **THREE_ZONES) as fleet:
         killed = fleet.entries.pop("entry-1-1")
         killed.process.kill()
-        link = f'"link to 127.0.0.1:{killed.ports.advertised}","state":"given up"'
+        link = f'"link to 127.0.0.1:{killed.ports.advertised}","state":"closed"'
         wait_until(
             lambda: all(link in entry.process.log_text for entry in fleet.entries.values()),
             "all give it up",
