--- a/vanillawell/coordination/membership.py
+++ b/vanillawell/coordination/membership.py
@@ -189,7 +189,7 @@
         return self._liveness.possibly_active(set(holders) - {self._me.holder})
 
     def add_discovered(self, member: Presence) -> None:
-        """Add an entry known from its heartbeat; during store outages the list shows no new ones."""
+        """Add an entry known from its heartbeat, which works while the store is unreachable."""
         if member.instance not in self._members:
             self._members[member.instance] = member
             self._notify()
--- a/vanillawell/tests/caller.py
+++ b/vanillawell/tests/caller.py
@@ -1,4 +1,4 @@
-"""Send requests as callers do and keep what came back."""
+"""Send requests as callers do and record the replies."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One request to send."""
+    """A request to send."""
 
     service: str = "check"
     organisation: str = "guild"
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """What came back; `connection_error` names the error if the connection ended early."""
+    """A reply; `connection_error` names the error if the connection ended early."""
 
     call: Call
     status: int = 0
@@ -76,7 +76,7 @@
 
 
 class Callers:
-    """Own the callers' connections."""
+    """Manage the callers' connections."""
 
     def __init__(self) -> None:
         self._pool = httpcore.AsyncConnectionPool(max_connections=1000)
--- a/vanillawell/tests/fleet_base.py
+++ b/vanillawell/tests/fleet_base.py
@@ -1,4 +1,4 @@
-"""Share what tests with real processes need."""
+"""Provide shared helpers for tests with real processes."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @contextmanager
 def running_fleet(folder: Path, **changes: Any) -> Iterator[Fleet]:
-    """Run a fleet for one test; `changes` replace parts of the small deployment."""
+    """Run a fleet for one test; `changes` override parts of the default deployment."""
     with Fleet(deployment(**changes), folder) as fleet:
         yield fleet
 
@@ -35,8 +35,8 @@
     return anyio.run(function, backend_options={"use_uvloop": True})
 
 
-def send_all(pairs: Sequence[tuple[EntryHandle, Call]]) -> list[Reply]:
-    """Send requests at the same time and return their replies in order."""
+def send_all(requests: Sequence[tuple[EntryHandle, Call]]) -> list[Reply]:
+    """Send requests concurrently and return their replies in order."""
 
     async def send() -> list[Reply]:
         replies: dict[int, Reply] = {}
@@ -45,9 +45,9 @@
             async def one(number: int, entry: EntryHandle, call: Call) -> None:
                 replies[number] = await callers.send(entry, call)
 
-            for number, (entry, call) in enumerate(pairs):
+            for number, (entry, call) in enumerate(requests):
                 tasks.start_soon(one, number, entry, call)
-        return [replies[number] for number in range(len(pairs))]
+        return [replies[number] for number in range(len(requests))]
 
     return run_async(send)
 
@@ -58,7 +58,7 @@
 
 
 class SteadyCallers:
-    """Keep a number of requests open until told to stop, and keep every reply."""
+    """Keep a number of requests open until stopped, and record every reply."""
 
     def __init__(
         self,
@@ -66,19 +66,19 @@
         make_call: Callable[[int], Call],
         open_requests: int,
         seed: int = 1,
-        pause: float = 0.0,
+        interval: float = 0.0,
     ) -> None:
         self._entries = list(entries)
         self._make_call = make_call
         self._open = open_requests
         self._rng = random.Random(seed)
         self._numbers = itertools.count(1)
-        self._pause = pause
+        self._pause = interval
         self.replies: list[Reply] = []
         self.stopping = False
 
-    def leave(self, entry: EntryHandle) -> None:
-        """Send nothing more to an entry, as the balancer does once it is not ready."""
+    def remove_entry(self, entry: EntryHandle) -> None:
+        """Stop sending requests to an entry, as the load balancer does when it is not ready."""
         self._entries.remove(entry)
 
     async def run(self) -> None:
@@ -98,7 +98,7 @@
 
 
 def run_during_load(callers: SteadyCallers, script: Callable[[], None]) -> list[Reply]:
-    """Run a blocking script of faults in a thread while callers send."""
+    """Run a blocking script in a thread while callers send requests; return their replies."""
 
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
@@ -119,11 +119,11 @@
 
 
 def runs_by_mark(fleet: Fleet) -> dict[str, int]:
-    """Count how often each marked request was run by a backend server."""
+    """Return how often each marked request was run by a backend server."""
     marks = sorted(run["mark"] for run in fleet.backend_runs())
     return {mark: len(list(group)) for mark, group in itertools.groupby(marks)}
 
 
 def units_held(entry: EntryHandle) -> int:
-    """Return the units of the guild's limit that an entry holds, as it says itself."""
+    """Return the units of the guild's limit that an entry reports to hold."""
     return int(entry.status()["organisations"]["guild"]["units_held"])
--- a/vanillawell/tests/jobs_tests.py
+++ b/vanillawell/tests/jobs_tests.py
@@ -151,7 +151,7 @@
             wait_until(lambda: fleet.finished_jobs()["stops"] > 0, "jobs give way")
             fleet.set_up_workers(**workers_now)
             killed = job_runner(fleet)
-            callers.leave(killed)
+            callers.remove_entry(killed)
             killed.process.kill()
 
         run_during_load(callers, peak)
--- a/vanillawell/tests/limit_proof_tests.py
+++ b/vanillawell/tests/limit_proof_tests.py
@@ -164,7 +164,7 @@
 
         def script(callers: SteadyCallers) -> None:
             gone = busiest(fleet)
-            callers.leave(gone)
+            callers.remove_entry(gone)
             fleet.end_for_good(gone)
             others = [entry for entry in fleet.entries.values() if entry is not gone]
             wait_until(
--- a/vanillawell/tests/maintenance_proof_tests.py
+++ b/vanillawell/tests/maintenance_proof_tests.py
@@ -1,4 +1,4 @@
-"""Prove maintenance, moves and budgets with real processes."""
+"""Test maintenance waves, instance moves and budgets with real processes."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
     from vanillawell.standins.fleet import EntryHandle, Fleet
 
-SIX_AND_SPARES: dict[str, Any] = {
+SIX_EXECUTORS_WITH_SPARES: dict[str, Any] = {
     "zones": 2,
     "entries_per_zone": 2,
     "executors_per_service": 6,
@@ -34,27 +34,31 @@
 
 
 def wave_state(fleet: Fleet) -> tuple[str, int]:
-    """Return the wave's state and how many instances still wait."""
+    """Return the state of the wave and the number of remaining instances."""
     document = fleet.cli("maintenance", "status")
     return document["state"], len(document["remaining"])
 
 
-def small_rack_is_leaving(fleet: Fleet) -> bool:
-    """Tell whether an instance is away that a loss of the larger rack would need most."""
+def small_rack_is_draining(fleet: Fleet) -> bool:
+    """Return whether an instance of the small rack is not serving.
+
+    If the larger rack fails now, the pool depends on the instances of the small one.
+    """
     rows = fleet.cli("maintenance", "status")["instances"]
-    away = {row["instance"] for row in rows if row["phase"] != "serving"}
-    return bool(away & {"check-5", "check-6"})
+    not_serving = {row["instance"] for row in rows if row["phase"] != "serving"}
+    return bool(not_serving & {"check-5", "check-6"})
 
 
-def planner(fleet: Fleet) -> EntryHandle:
-    """Return the entry that acts as planner."""
+def active_planner(fleet: Fleet) -> EntryHandle:
+    """Return the entry that holds the planner role."""
 
     def last_state(entry: EntryHandle) -> str:
         lines = [line for line in entry.process.log_text.splitlines() if '"planner"' in line]
         return lines[-1] if lines else ""
 
     wait_until(
-        lambda: any('"active"' in last_state(e) for e in fleet.entries.values()), "one plans"
+        lambda: any('"active"' in last_state(e) for e in fleet.entries.values()),
+        "an entry becomes planner",
     )
     return next(e for e in fleet.entries.values() if '"active"' in last_state(e))
 
@@ -70,10 +74,10 @@
         if run["executor"] in windows:
             started, ends = windows[run["executor"]]
             overlap = run["started"] < ends - 0.1 and run["ended"] > started + 0.1
-            assert not overlap, f"{run['executor']} ran work while it rebooted"
+            assert not overlap, f"{run['executor']} ran requests during its reboot"
 
 
-def callers_of(fleet: Fleet, open_requests: int = 8) -> SteadyCallers:
+def make_callers(fleet: Fleet, open_requests: int = 8) -> SteadyCallers:
     return SteadyCallers(
         list(fleet.entries.values()),
         lambda n: Call(mark=f"m{n}", run_seconds=0.05 + n % 4 * 0.4, timeout=6.0),
@@ -81,10 +85,10 @@
     )
 
 
-def test_a_wave_reboots_each_instance_once_and_cuts_nothing(tmp_path: Path) -> None:
-    """All instances are rebooted while callers send; four of six share a rack."""
-    with running_fleet(tmp_path, **SIX_AND_SPARES) as fleet:
-        callers = callers_of(fleet)
+def test_a_wave_reboots_each_instance_once_without_cutting_requests(tmp_path: Path) -> None:
+    """All instances are rebooted under load; four of six share a rack."""
+    with running_fleet(tmp_path, **SIX_EXECUTORS_WITH_SPARES) as fleet:
+        callers = make_callers(fleet)
 
         def script() -> None:
             wait_for_answers(callers, 20, "requests are answered")
@@ -98,28 +102,32 @@
         print(f"least available {record['least_available']}, moves {record['moves']}")
 
 
-def test_a_wave_survives_a_lost_rack_and_a_killed_and_a_paused_planner(tmp_path: Path) -> None:
-    """In mid-wave a rack fails, the planner is killed, its successor paused, the store goes down.
+def test_a_wave_completes_despite_a_failed_rack_and_killed_and_paused_planners(
+    tmp_path: Path,
+) -> None:
+    """During a wave a rack fails, the planner is killed, its successor is paused, the store fails.
 
-    A step taken on an old view, or twice, would take the pool below its budget or reboot an
-    instance twice.
+    A step that is based on outdated state, or repeated, would take the pool below its budget or
+    reboot an instance twice.
     """
-    timing = SIX_AND_SPARES["timing"] | {"holding_term": 4.0}
-    with running_fleet(tmp_path, **SIX_AND_SPARES | {"timing": timing}) as fleet:
+    timing = SIX_EXECUTORS_WITH_SPARES["timing"] | {"holding_term": 4.0}
+    with running_fleet(tmp_path, **SIX_EXECUTORS_WITH_SPARES | {"timing": timing}) as fleet:
         fleet.set_up_machines(reboot_seconds=2.0)
-        callers = callers_of(fleet)
+        callers = make_callers(fleet)
 
         def script() -> None:
             fleet.cli("maintenance", "start")
-            wait_until(lambda: small_rack_is_leaving(fleet), "the other rack's turn", bound=60.0)
+            wait_until(
+                lambda: small_rack_is_draining(fleet), "the small rack is draining", bound=60.0
+            )
             rack = [f"check-{number}" for number in range(1, 5)]
             fleet.fail_instances(rack, 4.0)
-            first = planner(fleet)
-            callers.leave(first)
+            first = active_planner(fleet)
+            callers.remove_entry(first)
             time.sleep(0.5)
             first.process.kill()
-            second = planner_after(fleet, first)
-            callers.leave(second)
+            second = next_planner(fleet, first)
+            callers.remove_entry(second)
             time.sleep(0.5)
             second.process.pause()
             fleet.store_faults(down=True)
@@ -134,31 +142,31 @@
         assert fleet.margins()["least_available"]["pool-check"] >= BUDGET
 
 
-def planner_after(fleet: Fleet, killed: EntryHandle) -> EntryHandle:
+def next_planner(fleet: Fleet, killed: EntryHandle) -> EntryHandle:
     others = [entry for entry in fleet.entries.values() if entry is not killed]
 
     def active(entry: EntryHandle) -> bool:
         lines = [line for line in entry.process.log_text.splitlines() if '"planner"' in line]
         return bool(lines) and '"active"' in lines[-1]
 
-    wait_until(lambda: any(active(entry) for entry in others), "another one plans")
+    wait_until(lambda: any(active(entry) for entry in others), "another entry becomes planner")
     return next(entry for entry in others if active(entry))
 
 
-def test_a_moved_instance_is_in_one_pool_and_its_old_one_sends_nothing_more(
+def test_a_moved_instance_gets_no_further_requests_from_its_old_pool(
     tmp_path: Path,
 ) -> None:
-    """Operators move an instance while callers use it, and an answer of the store is lost.
+    """An instance is moved while callers use it, and an answer of the store is lost.
 
-    The old pool must stop using it within seconds; work sent later would run on an instance
-    that belongs to others.
+    The old pool must stop using the instance within seconds; later requests would run on an
+    instance that belongs to another pool.
     """
     services = {
         "check": {"mean_seconds": 0.02, "budget": 2},
         "stamp": {"mean_seconds": 0.02, "budget": 1},
     }
-    with running_fleet(tmp_path, **SIX_AND_SPARES | {"services": services}) as fleet:
-        callers = callers_of(fleet)
+    with running_fleet(tmp_path, **SIX_EXECUTORS_WITH_SPARES | {"services": services}) as fleet:
+        callers = make_callers(fleet)
 
         def placed() -> bool:
             document = fleet.entries["entry-1-1"].status()["pools"]
@@ -179,36 +187,38 @@
         assert [run for run in fleet.backend_runs() if run["executor"] == "check-5"] == []
 
 
-def test_an_instance_that_a_cut_off_zone_still_uses_is_not_given_away(tmp_path: Path) -> None:
-    """A zone loses the store and all peers and goes on serving; operators move an instance.
+def test_an_instance_used_by_a_cut_off_zone_is_not_reassigned(tmp_path: Path) -> None:
+    """A zone loses the store and all peers and continues to serve; an instance is moved.
 
-    Its entries have left the list of members and cannot hear of the move. If the planner asked
-    only those on the list, the instance would serve two pools at once.
+    Its entries drop out of the member list and do not receive the assignment. If the planner asked
+    only listed entries, the instance would serve two pools at once.
     """
     services = {
         "check": {"mean_seconds": 0.02, "budget": 2},
         "stamp": {"mean_seconds": 0.02, "budget": 1},
     }
-    with running_fleet(tmp_path, **SIX_AND_SPARES | {"services": services}) as fleet:
-        watching = fleet.entries["entry-1-1"]
-        callers = callers_of(fleet, open_requests=24)
+    with running_fleet(tmp_path, **SIX_EXECUTORS_WITH_SPARES | {"services": services}) as fleet:
+        observer = fleet.entries["entry-1-1"]
+        callers = make_callers(fleet, open_requests=24)
 
         def executors(pool: str) -> int:
-            return int(watching.status()["pools"][pool]["executors"])
+            return int(observer.status()["pools"][pool]["executors"])
 
         def script() -> None:
             wait_for_answers(callers, 20, "requests are answered")
             cut_off_zone_2(fleet)
-            wait_until(lambda: watching.status()["entries"] == 2, "two have left the list")
+            wait_until(
+                lambda: observer.status()["entries"] == 2, "two entries drop out of the member list"
+            )
             fleet.cli("pool", "move", "check-5", "pool-stamp")
-            wait_until(lambda: executors("pool-check") == 5, "it leaves")
+            wait_until(lambda: executors("pool-check") == 5, "it is removed from the old pool")
             fleet.reset_backend()
             wait_for_answers(callers, 100, "requests are answered during the cut")
             wait_until(
                 lambda: "check-5" in {run["executor"] for run in fleet.backend_runs()},
                 "the cut-off zone still uses it",
             )
-            assert executors("pool-stamp") == 6, "it was given away while it was in use"
+            assert executors("pool-stamp") == 6, "it was reassigned while it was in use"
             for name in ("store", "in", "out"):
                 fleet.clear(name)
             wait_until(lambda: executors("pool-stamp") == 7, "the move ends after the cut")
@@ -218,7 +228,7 @@
 
 
 def cut_off_zone_2(fleet: Fleet) -> None:
-    """Cut zone 2 off from the store and from the other zone's entries."""
+    """Disconnect zone 2 from the store and from the other zone's entries."""
     fleet.fault("store", "cut", link="store-2")
     fleet.fault("out", "cut", link="peer", source_zone=2)
     fleet.fault("in", "cut", link="peer", target_zone=2)
--- a/vanillawell/tests/outcome_proof_tests.py
+++ b/vanillawell/tests/outcome_proof_tests.py
@@ -1,4 +1,4 @@
-"""Prove what callers are told: whole answers to their own requests, and true verdicts."""
+"""Test that callers receive complete answers to their own requests, and correct verdicts."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 CLAIM_PREFIX = b64encode(b"/vanillawell/claim").decode()
-"""How the key of a claim begins in a call to the store."""
+"""Prefix of the key of a claim in a call to the store."""
 
 
 def new_key() -> str:
@@ -48,12 +48,12 @@
 
 
 def check_replies(fleet: Fleet, replies: list[Reply]) -> Counter[str]:
-    """Check every reply against what the backend servers ran; return the kinds of outcome."""
+    """Check every reply against the runs of the backend servers; return a count of each outcome."""
     runs = runs_by_mark(fleet)
     for reply in replies:
         mark = reply.call.mark
         if reply.status == 200:
-            assert reply.body.endswith(reply.call.body), "the answer of another request"
+            assert reply.body.endswith(reply.call.body), "received the answer to another request"
             assert runs.get(mark, 0) >= 1
         if reply.verdict == "not-run":
             assert runs.get(mark, 0) == 0, f"{reply.problem} said not-run and {mark} ran"
@@ -63,7 +63,7 @@
 
 
 def mixed_call(number: int) -> Call:
-    """Return reads and stamps, each with a body that only its own answer repeats."""
+    """Return a read or a stamp with a unique body, which its own answer repeats."""
     return Call(
         method="POST" if number % 2 else "GET",
         mark=f"m{number}",
@@ -73,11 +73,11 @@
     )
 
 
-def test_verdicts_stay_true_while_connections_to_backend_servers_fail(tmp_path: Path) -> None:
-    """Connections to backend servers are cut after the request went out, or in mid-answer.
+def test_verdicts_are_correct_while_connections_to_backend_servers_fail(tmp_path: Path) -> None:
+    """Connections to backend servers are cut after the request was sent, or during the answer.
 
-    A caller that is told "not run" sends again; if the request had run, a stamp is doubled. A
-    caller that takes half an answer for whole, or another's answer, acts on a wrong record.
+    A caller retries after the verdict "not run"; if the request had run, a stamp would be issued
+    twice. A caller that accepts a partial answer, or one to another request, uses a wrong record.
     """
     with running_fleet(tmp_path, **TWO_ZONES) as fleet:
         callers = SteadyCallers(list(fleet.entries.values()), mixed_call, open_requests=60)
@@ -93,17 +93,17 @@
             fleet.clear("c")
 
         kinds = check_replies(fleet, run_during_load(callers, script))
-        assert kinds["may-have-run"] > 0, "no fault struck a stamp"
+        assert kinds["may-have-run"] > 0, "no fault affected a stamp"
         counts = fleet.network_counts()
         assert counts["struck cut-after-request"] == 15
         assert counts["struck half-answer"] == 15
 
 
-def test_a_flooded_organisation_with_short_deadlines_still_gets_answers(tmp_path: Path) -> None:
-    """Callers ask for several times what their organisation's limit can run, and wait only so long.
+def test_an_overloaded_organisation_with_short_deadlines_still_gets_answers(tmp_path: Path) -> None:
+    """Callers send several times the requests that the limit allows, with short deadlines.
 
-    A queue that lets each request start shortly before its deadline has every slot busy with
-    work whose caller is about to leave: all slots are used and nobody gets an answer.
+    If each request started shortly before its deadline, every slot would be busy with requests
+    whose callers are about to disconnect: all slots would be used and no caller would be answered.
     """
     organisations = {"guild": {"limit": 1}}
     timing = QUICK_TIMING | {"longest_request": 1.5}
@@ -114,17 +114,18 @@
 
         callers = SteadyCallers(list(fleet.entries.values()), make, open_requests=8)
         replies = run_during_load(
-            callers, lambda: wait_until(lambda: len(fleet.backend_runs()) >= 12, "12 have run")
+            callers,
+            lambda: wait_until(lambda: len(fleet.backend_runs()) >= 12, "12 requests have run"),
         )
         answered = sum(reply.status == 200 for reply in replies)
-        assert answered >= 8, "slots were spent on requests that could not finish"
+        assert answered >= 8, "slots were used for requests that could not finish in time"
 
 
-def test_refusals_of_a_flooded_fleet_are_true(tmp_path: Path) -> None:
-    """Callers ask for several times what the pool holds, and some leave in waves.
+def test_refusals_of_an_overloaded_fleet_are_correct(tmp_path: Path) -> None:
+    """Callers send several times the requests that the pool can run.
 
-    Refusals must come at once with "not run" and say when to come back; what is refused must
-    not run later, when nobody waits for it any more.
+    Refusals must be immediate, with the verdict "not run" and a delay after which to retry; a
+    refused request must not run later, when no caller waits for it any more.
     """
     with running_fleet(
         tmp_path, **TWO_ZONES | {"executors_per_service": 1}, fleet_settings={"queue_length": 10}
@@ -139,8 +140,8 @@
                 assert reply.header("retry-after")
 
 
-def resend_elsewhere(fleet: Fleet, key: str, mark: str) -> Reply:
-    """Send a stamp again through the other entry until it is final."""
+def resend_through_other_entry(fleet: Fleet, key: str, mark: str) -> Reply:
+    """Retry a stamp through the other entry until its outcome is final."""
     call = Call(method="POST", mark=mark, body=b"stamp", idempotency_key=key)
     other = fleet.entries["entry-2-1"]
     wait_until(lambda: send_one(other, call).problem != "in-progress", "the outcome is final")
@@ -148,7 +149,7 @@
 
 
 def start_stamp(fleet: Fleet, key: str, mark: str, seconds: float) -> None:
-    """Send a stamp by a caller that leaves at once, and wait until it runs."""
+    """Send a stamp from a caller that disconnects as soon as the stamp runs."""
     call = Call(
         method="POST", mark=mark, body=b"stamp", idempotency_key=key, run_seconds=seconds, timeout=8
     )
@@ -163,24 +164,25 @@
     run_async(send_and_leave)
 
 
-def test_a_stamp_sent_again_after_its_entry_was_killed_runs_once(tmp_path: Path) -> None:
-    """The entry that took a stamp is killed while it runs; the caller sends it elsewhere.
+def test_a_stamp_retried_after_its_entry_was_killed_runs_once(tmp_path: Path) -> None:
+    """The entry that accepted a stamp is killed while it runs; the caller retries elsewhere.
 
-    The second entry cannot know whether it ran. It must not run it again, and must say so.
+    The second entry cannot know whether the stamp ran. It must not run it again, and must report
+    the outcome as unknown.
     """
     with running_fleet(tmp_path, **TWO_ZONES) as fleet:
         key = new_key()
         start_stamp(fleet, key, "stamp", 1.0)
         fleet.entries["entry-1-1"].process.kill()
-        reply = resend_elsewhere(fleet, key, "stamp")
+        reply = resend_through_other_entry(fleet, key, "stamp")
         assert (reply.status, reply.verdict) == (409, "may-have-run")
         wait_until(lambda: runs_by_mark(fleet) == {"stamp": 1}, "the first run ends")
 
 
-def test_a_stamp_sent_again_while_its_entry_is_paused_runs_once(tmp_path: Path) -> None:
-    """The entry that took a stamp is paused, the caller sends elsewhere, and it wakes.
+def test_a_stamp_retried_while_its_entry_is_paused_runs_once(tmp_path: Path) -> None:
+    """The entry that accepted a stamp is paused, the caller retries elsewhere, and it resumes.
 
-    Both may believe that the stamp is theirs to run.
+    Without a claim both entries could run the stamp.
     """
     with running_fleet(tmp_path, **TWO_ZONES) as fleet:
         key = new_key()
@@ -190,13 +192,13 @@
         call = Call(method="POST", mark="stamp", body=b"stamp", idempotency_key=key)
         assert send_one(fleet.entries["entry-2-1"], call).verdict == "may-have-run"
         first.resume()
-        reply = resend_elsewhere(fleet, key, "stamp")
+        reply = resend_through_other_entry(fleet, key, "stamp")
         assert (reply.status, reply.verdict) == (200, "ran")
         assert runs_by_mark(fleet) == {"stamp": 1}
 
 
 def test_a_stamp_sent_through_two_entries_at_once_runs_once(tmp_path: Path) -> None:
-    """An impatient caller sends the same stamps through both entries at the same time."""
+    """A caller sends the same stamps through both entries at the same time."""
     with running_fleet(tmp_path, **TWO_ZONES) as fleet:
         entries = list(fleet.entries.values())
         keys = [new_key() for _ in range(25)]
@@ -210,42 +212,44 @@
         assert all(reply.status in (200, 409) for reply in replies)
 
 
-def test_a_stamp_sent_again_after_its_zone_was_cut_off_runs_once(tmp_path: Path) -> None:
-    """A zone loses the store and all peers between the two tries of a stamp.
+def test_a_stamp_retried_after_its_zone_was_cut_off_runs_once(tmp_path: Path) -> None:
+    """A zone loses the store and all peers between two attempts to send a stamp.
 
-    The first entry runs it to its end and cannot say so to anybody; the second one knows only
-    that it was begun. When the cut heals, the answer that was kept must reach the caller.
+    The first entry completes it but cannot record that; the second one knows only that it was
+    started. Once the connections are restored, the caller must receive the stored answer.
     """
     with running_fleet(tmp_path, **TWO_ZONES) as fleet:
         key = new_key()
         start_stamp(fleet, key, "stamp", 1.0)
         cut_off_zone_1(fleet)
-        reply = resend_elsewhere(fleet, key, "stamp")
+        reply = resend_through_other_entry(fleet, key, "stamp")
         assert (reply.status, reply.verdict) == (409, "may-have-run")
-        again = Call(method="POST", mark="late", body=b"late", idempotency_key=new_key())
-        refused = send_one(fleet.entries["entry-1-1"], again)
+        late_call = Call(method="POST", mark="late", body=b"late", idempotency_key=new_key())
+        refused = send_one(fleet.entries["entry-1-1"], late_call)
         assert (refused.problem, refused.verdict) == ("store-unavailable", "not-run")
-        assert send_one(fleet.entries["entry-2-1"], again).status == 200
+        assert send_one(fleet.entries["entry-2-1"], late_call).status == 200
         for name in ("store", "in", "out"):
             fleet.clear(name)
         wait_until(
-            lambda: resend_elsewhere(fleet, key, "stamp").status == 200, "its answer is replayed"
+            lambda: resend_through_other_entry(fleet, key, "stamp").status == 200,
+            "its answer is replayed",
         )
         wait_until(
-            lambda: send_one(fleet.entries["entry-1-1"], again).status == 200, "both know of it"
+            lambda: send_one(fleet.entries["entry-1-1"], late_call).status == 200,
+            "both entries replay its answer",
         )
         assert runs_by_mark(fleet) == {"stamp": 1, "late": 1}
 
 
 def cut_off_zone_1(fleet: Fleet) -> None:
-    """Cut zone 1 off from the store and from the other zone's entry."""
+    """Disconnect zone 1 from the store and from the other zone's entry."""
     fleet.fault("store", "cut", link="store-1")
     fleet.fault("out", "cut", link="peer", source_zone=1)
     fleet.fault("in", "cut", link="peer", target_zone=1)
 
 
 def test_stamps_are_refused_as_not_run_while_the_store_is_down(tmp_path: Path) -> None:
-    """The store is down, so nothing guards a stamp with a key against a second run."""
+    """While the store is down, a stamp with a key cannot be protected against a second run."""
     with running_fleet(tmp_path, **TWO_ZONES) as fleet:
         entry = fleet.entries["entry-1-1"]
         wait_until(lambda: units_held(entry) >= 1, "the entry holds units of the limit")
@@ -258,15 +262,15 @@
         assert send_one(entry, Call(method="POST", mark="free")).status == 200
         fleet.store_faults(down=False)
         for call in calls:
-            wait_until(lambda c=call: send_one(entry, c).status == 200, "it runs in the end")  # type: ignore[misc]
+            wait_until(lambda c=call: send_one(entry, c).status == 200, "it runs after the outage")  # type: ignore[misc]
         assert runs_by_mark(fleet) == {"free": 1} | {f"m{n}": 1 for n in range(5)}
 
 
 def test_a_claim_whose_answer_was_lost_is_recognised(tmp_path: Path) -> None:
     """The store applies a claim and the connection breaks before its answer arrives.
 
-    If the entry took the claim for another's, the stamp would be refused as in progress for
-    ever. Reading back shows that it is its own, and the stamp runs at once.
+    If the entry mistook the claim for another entry's, the stamp would be refused as in progress
+    until its key expires. Reading the claim back identifies it, and the stamp runs immediately.
     """
     with running_fleet(tmp_path, **TWO_ZONES) as fleet:
         call = Call(method="POST", mark="stamp", idempotency_key=new_key())
@@ -276,25 +280,25 @@
 
 
 @pytest.mark.parametrize("again_through", ["entry-1-1", "entry-2-1"])
-def test_a_claim_that_cannot_be_read_back_is_freed(tmp_path: Path, again_through: str) -> None:
-    """The store applies a claim, and neither its answer nor the reading back gets through.
+def test_a_claim_that_cannot_be_read_back_is_deleted(tmp_path: Path, again_through: str) -> None:
+    """The store applies a claim, and both its answer and the subsequent read are lost.
 
-    The stamp is refused as not run. Sent again through either entry it must run, once.
+    The stamp is refused as not run. Retried through either entry, it must run exactly once.
     """
     with running_fleet(tmp_path, **TWO_ZONES) as fleet:
         call = Call(method="POST", mark="stamp", idempotency_key=new_key())
         fleet.fault("lost", "cut-after-request", link="store", contains=CLAIM_PREFIX, count=2)
         reply = send_one(fleet.entries["entry-1-1"], call)
         assert (reply.problem, reply.verdict) == ("store-unavailable", "not-run")
-        again = fleet.entries[again_through]
-        wait_until(lambda: send_one(again, call).status == 200, "the stamp runs")
+        retry_entry = fleet.entries[again_through]
+        wait_until(lambda: send_one(retry_entry, call).status == 200, "the stamp runs")
         assert runs_by_mark(fleet) == {"stamp": 1}
 
 
-def test_a_large_answer_is_streamed_and_a_cut_shows(tmp_path: Path) -> None:
-    """An answer is larger than an entry may hold, and its connection breaks in the middle.
+def test_a_large_answer_is_streamed_and_a_cut_is_visible(tmp_path: Path) -> None:
+    """The connection breaks during an answer that is too large for an entry to buffer.
 
-    The caller must see that the answer is not whole, by its framing.
+    The HTTP framing must show the caller that the answer is incomplete.
     """
     with running_fleet(tmp_path, **TWO_ZONES) as fleet:
         fleet.behave([], answer_bytes=8_000_000, chunked=True)
@@ -305,17 +309,17 @@
         assert reply.connection_error == "RemoteProtocolError"
 
 
-def test_a_failing_executor_does_not_draw_all_load(tmp_path: Path) -> None:
-    """One executor fails everything at once, so that it always looks idle.
+def test_a_failing_executor_does_not_attract_all_load(tmp_path: Path) -> None:
+    """One executor fails every request immediately, so that it always appears idle.
 
-    Least-loaded routing would send it most requests, and most callers would get errors.
+    Least-loaded routing would send it most requests, and most callers would receive errors.
     """
     with running_fleet(tmp_path, **TWO_ZONES) as fleet:
         fleet.behave(["check-2"], fail_fast=True)
         callers = SteadyCallers(list(fleet.entries.values()), mixed_call, open_requests=20)
 
         def script() -> None:
-            wait_for_answers(callers, 400, "requests are answered beside the failing one")
+            wait_for_answers(callers, 400, "requests are answered by the other executors")
 
         replies = run_during_load(callers, script)
         assert fleet.backend_counts()["started"]["check-2"] < len(replies) / 10
@@ -334,11 +338,11 @@
         run_during_load(more, recover)
 
 
-def test_silent_connections_are_replaced(tmp_path: Path) -> None:
-    """Something between entry and backend servers loses track of all open connections.
+def test_unresponsive_connections_to_executors_are_replaced(tmp_path: Path) -> None:
+    """A device between entry and backend servers drops the state of all open connections.
 
-    New connections work, the old ones say nothing for ever. Callers would wait until their
-    deadlines for as long as old connections are used again.
+    New connections work, while the old ones never respond or fail. Callers would wait until their
+    deadlines for as long as old connections are reused.
     """
     timing = QUICK_TIMING | {"longest_request": 10.0}
     with running_fleet(tmp_path, **TWO_ZONES | {"timing": timing}) as fleet:
--- a/vanillawell/tests/rollout_proof_tests.py
+++ b/vanillawell/tests/rollout_proof_tests.py
@@ -1,4 +1,4 @@
-"""Prove that an accepted configuration is in force everywhere soon and never reverts."""
+"""Test that an accepted configuration is soon in force on all entries and never reverts."""
 
 from __future__ import annotations
 
@@ -33,18 +33,18 @@
 CONFIGURATION_KEY = "/vanillawell/configuration"
 
 STOP_NOTICE = 3.0
-"""Seconds from a stopping entry's notice to its end of taking requests, as by default."""
+"""Seconds for which a stopping entry still accepts requests; the default."""
 
 BALANCER_LAG = 0.5
-"""Seconds after which the balancer sends nothing more to an entry that gave notice."""
+"""Seconds after which the load balancer sends no more requests to a stopping entry."""
 
 
 def units_held(entry: EntryHandle) -> int:
     return int(entry.status()["organisations"]["guild"]["units_held"])
 
 
-def versions_applied(entry: EntryHandle) -> list[str]:
-    """Return the versions that an entry has brought into force, in their order."""
+def applied_versions(entry: EntryHandle) -> list[str]:
+    """Return the versions that an entry has applied, in order."""
     return re.findall(r'"state":"version (\d+)"', entry.process.log_text)
 
 
@@ -52,11 +52,11 @@
     return [int(entry.status()["version"]) for entry in fleet.entries.values()]
 
 
-def test_a_withdrawn_key_stops_everywhere_within_seconds(tmp_path: Path) -> None:
-    """One zone has lost the store but still hears its peers when a key is withdrawn.
+def test_a_withdrawn_key_is_refused_by_all_entries_within_seconds(tmp_path: Path) -> None:
+    """One zone has lost the store but still receives updates from peers when a key is withdrawn.
 
-    Its entries must learn of it from the others; a withdrawn key that goes on working there
-    would let a former submitter in.
+    Its entries must receive the change from their peers; otherwise the withdrawn key would still
+    give access there.
     """
     with running_fleet(tmp_path, **THREE_ZONES) as fleet:
         fleet.fault("cut", "cut", link="store-1")
@@ -71,10 +71,10 @@
         print(f"withdrawn key refused everywhere after {time.monotonic() - started:.2f} s")
 
 
-def test_a_zone_without_any_word_refuses_keys_after_their_bound(tmp_path: Path) -> None:
-    """A zone has lost the store and all other zones, so it cannot hear of withdrawn keys.
+def test_an_isolated_zone_refuses_keys_after_their_freshness_bound(tmp_path: Path) -> None:
+    """A zone has lost the store and all other zones, so it cannot learn of withdrawn keys.
 
-    For the bound that operators chose it goes on serving, then it refuses as not run.
+    It continues to serve for the configured freshness bound, then refuses requests as not run.
     """
     with running_fleet(
         tmp_path, **THREE_ZONES, fleet_settings={"key_freshness": 4.0, "reserve": 1.0}
@@ -86,21 +86,22 @@
         entry = fleet.entries["entry-1-1"]
         assert send_one(entry, Call()).status == 200
         wait_until(
-            lambda: send_one(entry, Call()).problem == "configuration-stale", "it refuses in time"
+            lambda: send_one(entry, Call()).problem == "configuration-stale",
+            "it refuses after the bound",
         )
         for name in ("store", "out", "in"):
             fleet.clear(name)
         wait_until(lambda: send_one(entry, Call()).status == 200, "it serves again")
 
 
-def test_versions_only_rise_through_cuts_restarts_and_an_older_store(tmp_path: Path) -> None:
-    """A zone is cut off and comes back, an entry restarts in an outage, the store is restored.
+def test_versions_only_increase_despite_cuts_restarts_and_a_restored_store(tmp_path: Path) -> None:
+    """A zone is cut off and reconnected, an entry restarts in an outage, the store is restored.
 
-    Any of these could bring an older configuration back into force, and with it a withdrawn key
-    or an old limit.
+    Each of these could put an older configuration back into force, and with it a withdrawn key or
+    an old limit.
     """
     with running_fleet(tmp_path, **THREE_ZONES) as fleet:
-        older = control(
+        older_value = control(
             "127.0.0.1",
             int(fleet.store_address.rpartition(":")[2]),
             "/v3/kv/range",
@@ -108,30 +109,32 @@
         )["kvs"][0]["value"]
         fleet.fault("cut", "cut", link="store-1")
         fleet.cli("node", "set", "guild", "limit=5")
-        wait_until(lambda: min(versions(fleet)) == 2, "peers tell the cut-off zone")
+        wait_until(lambda: min(versions(fleet)) == 2, "the cut-off zone receives it from peers")
         fleet.store_faults(down=True)
         restarted = fleet.entries["entry-2-1"]
         restarted.process.kill()
         restarted.process.start()
         fleet.store_faults(down=False)
-        put = {"key": b64encode(CONFIGURATION_KEY.encode()).decode(), "value": older}
+        put = {"key": b64encode(CONFIGURATION_KEY.encode()).decode(), "value": older_value}
         control("127.0.0.1", int(fleet.store_address.rpartition(":")[2]), "/v3/kv/put", put)
         fleet.clear("cut")
         wait_until(lambda: restarted.ready, "the restarted entry is ready")
-        wait_until(lambda: min(versions(fleet)) == 2, "it learns the newer one from its peers")
+        wait_until(
+            lambda: min(versions(fleet)) == 2, "it receives the newer version from its peers"
+        )
         wait_until(
             lambda: any("older" in e.process.log_text for e in fleet.entries.values()),
-            "the older one is noticed",
+            "the older version is logged",
         )
         assert versions(fleet) == [2] * 6
         others = [entry for entry in fleet.entries.values() if entry is not restarted]
-        assert all(versions_applied(entry) == ["1", "2"] for entry in others)
+        assert all(applied_versions(entry) == ["1", "2"] for entry in others)
 
 
-def test_of_racing_operators_none_is_lost(tmp_path: Path) -> None:
-    """Several operators change settings at the same moment, and the store is slow.
+def test_no_accepted_change_of_concurrent_operators_is_lost(tmp_path: Path) -> None:
+    """Several operators change settings at the same time, and the store is slow.
 
-    Each either wins or is told what the other changed; nobody's accepted change disappears.
+    Each change is either accepted or refused with the differences; no accepted change is lost.
     """
     with running_fleet(tmp_path) as fleet:
         fleet.store_faults(delay=0.4)
@@ -156,8 +159,8 @@
         assert all("the configuration changed meanwhile" in results[n].stderr for n in lost)
 
 
-def test_an_operators_lost_answer_is_recognised(tmp_path: Path) -> None:
-    """The store applies a change and its answer is lost; the command must not report a race."""
+def test_a_change_whose_answer_was_lost_is_recognised(tmp_path: Path) -> None:
+    """The store applies a change and its answer is lost; the command must not report a conflict."""
     with running_fleet(tmp_path) as fleet:
         fleet.store_faults(lose_answers=1)
         fleet.cli("node", "set", "guild", "limit=5")
@@ -166,10 +169,10 @@
         assert fleet.cli("config", "show")["nodes"]["guild"]["settings"]["limit"] == 5
 
 
-def test_a_lost_answer_to_a_read_does_not_end_an_operators_command(tmp_path: Path) -> None:
-    """The store leaves a read unanswered; the entry is gone, so that the command's is the one.
+def test_a_command_retries_a_read_whose_answer_was_lost(tmp_path: Path) -> None:
+    """The store does not answer a read. The entry is killed first, so the read is the command's.
 
-    A command that ended there would report an error, also after its change was accepted.
+    A command that stopped there would report an error even after its change was accepted.
     """
     with running_fleet(tmp_path) as fleet:
         fleet.entries["entry-1-1"].process.kill()
@@ -183,7 +186,7 @@
         assert ended.stderr.startswith("vanillawell: store gave no answer")
 
 
-def test_an_earlier_tree_comes_back_as_a_new_version(tmp_path: Path) -> None:
+def test_an_earlier_tree_is_restored_as_a_new_version(tmp_path: Path) -> None:
     with running_fleet(tmp_path) as fleet:
         fleet.cli("node", "set", "guild", "limit=5")
         fleet.cli("config", "restore", "1", "--wait")
@@ -192,16 +195,16 @@
 
 
 def test_a_planned_stop_cuts_no_request(tmp_path: Path) -> None:
-    """An entry is asked to stop while callers use it, the balancer noticing a moment later.
+    """An entry is stopped under load, and the load balancer reacts a moment later.
 
-    Each request that it accepted must get its answer; none may be cut or lost. Some run on when
-    the notice is over. Units are there and the limits above the open requests, so that none is
-    refused for want of one.
+    Each accepted request must be answered; none may be cut off or lost. Some run longer than the
+    stop notice. Units are held in advance and the limits exceed the number of open requests, so
+    that no request is refused for lack of a unit.
     """
     timing = QUICK_TIMING | {"stop_notice": STOP_NOTICE, "longest_request": 10.0}
-    roomy = {"guild": {"limit": 100}, "court": {"limit": 100}}
+    high_limits = {"guild": {"limit": 100}, "court": {"limit": 100}}
     with running_fleet(
-        tmp_path, **THREE_ZONES | {"timing": timing, "organisations": roomy}
+        tmp_path, **THREE_ZONES | {"timing": timing, "organisations": high_limits}
     ) as fleet:
         entries = dict(fleet.entries)
         stopping = entries["entry-1-1"]
@@ -210,45 +213,45 @@
             lambda n: Call(mark=f"m{n}", run_seconds=0.05 + n % 5 * 0.1, timeout=5.0),
             open_requests=12,
         )
-        outlasting = Call(organisation="court", run_seconds=STOP_NOTICE + 1, timeout=10.0)
-        kept: list[Reply] = []
+        long_request = Call(organisation="court", run_seconds=STOP_NOTICE + 1, timeout=10.0)
+        long_replies: list[Reply] = []
 
         wait_until(lambda: all(units_held(e) for e in entries.values()), "all hold units")
 
         def script() -> None:
             wait_for_answers(callers, 30, "requests are answered")
-            long = threading.Thread(
-                target=lambda: kept.extend(send_all([(stopping, outlasting)] * 3))
+            long_callers = threading.Thread(
+                target=lambda: long_replies.extend(send_all([(stopping, long_request)] * 3))
             )
-            long.start()
+            long_callers.start()
             wait_until(
                 lambda: stopping.status()["organisations"]["court"]["running"] == 3, "they run"
             )
             thread = threading.Thread(target=stopping.process.stop)
             thread.start()
-            wait_until(lambda: not stopping.ready, "readiness goes off")
+            wait_until(lambda: not stopping.ready, "the entry is not ready any more")
             time.sleep(BALANCER_LAG)
-            callers.leave(stopping)
+            callers.remove_entry(stopping)
             thread.join()
-            long.join()
+            long_callers.join()
             assert stopping.process.wait() == 0
-            wait_for_answers(callers, 30, "the others answer")
+            wait_for_answers(callers, 30, "the other entries answer")
 
         replies = run_during_load(callers, script)
-        assert len(kept) == 3
-        assert [reply for reply in [*replies, *kept] if reply.status != 200] == []
+        assert len(long_replies) == 3
+        assert [reply for reply in [*replies, *long_replies] if reply.status != 200] == []
         held = fleet.entries["entry-1-2"].status()["entries"]
         assert held <= 6
 
 
-def test_a_slow_rollout_names_who_lags_and_ends_with_its_own_status(tmp_path: Path) -> None:
-    """One entry is paused while operators wait for a change to be in force.
+def test_a_slow_rollout_names_lagging_entries_and_has_its_own_exit_status(tmp_path: Path) -> None:
+    """One entry is paused while an operator waits for a change to be in force.
 
-    Its presence must outlast the start of the command, however slow that is: an entry whose
-    presence has lapsed is not waited for.
+    Its lease must outlast the start of the command, however slow that is: the command does not
+    wait for an entry whose presence has expired.
     """
-    lasting = {"poll_interval": 0.5, "lease_ttl": 30.0, "timeout": 0.7}
-    with running_fleet(tmp_path, entries_per_zone=2, store=lasting) as fleet:
+    slow_store = {"poll_interval": 0.5, "lease_ttl": 30.0, "timeout": 0.7}
+    with running_fleet(tmp_path, entries_per_zone=2, store=slow_store) as fleet:
         document = fleet.tree_document()
         document["nodes"]["guild"]["settings"]["limit"] = 5
         path = tmp_path / "changed.jsonc"
--- a/vanillawell/tests/session_tests.py
+++ b/vanillawell/tests/session_tests.py
@@ -1,4 +1,4 @@
-"""Play a whole session of a caller against a golden file."""
+"""Compare a complete session of a caller with a golden file."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 GOLDEN = Path(__file__).with_name("golden") / "session.txt"
 
-SHOWN = (
+SHOWN_HEADERS = (
     "vanillawell-verdict",
     "content-type",
     "www-authenticate",
@@ -28,17 +28,17 @@
     "executor",
 )
 
-NONSENSE = b"NONSENSE\r\n\r\n"
+MALFORMED_REQUEST = b"NONSENSE\r\n\r\n"
 
-VARIABLE = ((r"entry-1-1/[0-9a-f]{12}-\d+", "REQUEST"), (r'"retry_after_ms":\d+', "RETRY"))
+VARIABLE_PARTS = ((r"entry-1-1/[0-9a-f]{12}-\d+", "REQUEST"), (r'"retry_after_ms":\d+', "RETRY"))
 
 
 def render(title: str, reply: Reply) -> str:
-    """Write one step of the session, without what differs from run to run."""
+    """Render one step of the session without the parts that differ between runs."""
     body = reply.body.decode()
-    for pattern, word in VARIABLE:
+    for pattern, word in VARIABLE_PARTS:
         body = re.sub(pattern, word, body)
-    headers = [f"{name}: {reply.header(name)}" for name in SHOWN if reply.header(name)]
+    headers = [f"{name}: {reply.header(name)}" for name in SHOWN_HEADERS if reply.header(name)]
     if reply.header("retry-after"):
         headers.append("retry-after: present")
     call = f"{reply.call.method} /{reply.call.service}/item"
@@ -52,7 +52,7 @@
 
 
 def queue_over_the_limit(fleet: Fleet, entry: EntryHandle) -> Reply:
-    """Fill the organisation's single unit and its queue of one, then send one more."""
+    """Use the organisation's single unit and its single place in the queue, then send a request."""
     slow = Call(organisation="small", run_seconds=1.0)
 
     def running() -> bool:
@@ -61,33 +61,33 @@
     def queued() -> bool:
         return bool(entry.status()["pools"]["pool-check"]["queued"] == 1)
 
-    async def play_three() -> Reply:
+    async def send_three() -> Reply:
         replies = []
         async with Callers() as callers, anyio.create_task_group() as tasks:
             tasks.start_soon(callers.send, entry, slow)
-            await anyio.to_thread.run_sync(wait_until, running, "the first one runs")
+            await anyio.to_thread.run_sync(wait_until, running, "the first request runs")
             tasks.start_soon(callers.send, entry, slow)
-            await anyio.to_thread.run_sync(wait_until, queued, "the second one waits")
+            await anyio.to_thread.run_sync(wait_until, queued, "the second request is queued")
             replies.append(await callers.send(entry, slow))
         return replies[0]
 
-    return run_async(play_three)
+    return run_async(send_three)
 
 
-def replayed(entry: EntryHandle, call: Call) -> Reply:
-    """Send again until the kept answer is there; until then it is said to be in progress."""
-    wait_until(lambda: send_one(entry, call).status == 200, "the answer is kept")
+def send_until_replayed(entry: EntryHandle, call: Call) -> Reply:
+    """Repeat a call until its stored answer is replayed; until then it is refused."""
+    wait_until(lambda: send_one(entry, call).status == 200, "the answer is stored")
     return send_one(entry, call)
 
 
-def play(fleet: Fleet) -> str:
+def run_session(fleet: Fleet) -> str:
     entry = fleet.entries["entry-1-1"]
     key = uuid7(int(time.time() * 1000))
     stamp = Call(method="POST", body=b"tig-2026", idempotency_key=key)
     steps = [
         render("accepted", send_one(entry, Call())),
         render("a stamp with an idempotency key", send_one(entry, stamp)),
-        render("the same stamp again", replayed(entry, stamp)),
+        render("the same stamp again", send_until_replayed(entry, stamp)),
         render(
             "the same key for another stamp",
             send_one(entry, Call(method="POST", body=b"mig-2026", idempotency_key=key)),
@@ -104,7 +104,7 @@
         render("over the limit", queue_over_the_limit(fleet, entry)),
         render("backend server down", send_one(entry, Call(service="down"))),
         render("deadline", send_one(entry, Call(run_seconds=0.6, timeout=0.2))),
-        f"# malformed HTTP\n< {raw_exchange(entry, NONSENSE)}\n",
+        f"# malformed HTTP\n< {raw_exchange(entry, MALFORMED_REQUEST)}\n",
     ]
     fleet.cli("key", "withdraw", "guild", "first", "--wait")
     wait_until(lambda: send_one(entry, Call()).status == 401, "the withdrawn key is refused")
@@ -112,7 +112,7 @@
     return "\n".join(steps)
 
 
-def test_a_whole_session_matches_its_golden_file(tmp_path: Path) -> None:
+def test_a_complete_session_matches_its_golden_file(tmp_path: Path) -> None:
     with running_fleet(
         tmp_path,
         executors_per_service=1,
@@ -125,6 +125,6 @@
         address = document["nodes"]["pool-down"]["instances"]["down-1"]["address"]
         address["port"] = free_port()
         fleet.push(document, "--wait")
-        session = play(fleet)
+        session = run_session(fleet)
     (tmp_path / "session.txt").write_text(session)
     assert session == GOLDEN.read_text()
--- a/vanillawell/tests/silence_proof_tests.py
+++ b/vanillawell/tests/silence_proof_tests.py
@@ -1,4 +1,4 @@
-"""Prove that silent connections of callers, peers and the store are found and replaced."""
+"""Test that unresponsive connections of callers, peers and the store are detected."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def open_request(entry: EntryHandle, head: str) -> socket.socket:
-    """Send the head of a request over a connection of its own."""
+    """Open a connection and send the first headers of a request."""
     connection = socket.create_connection((entry.host, entry.ports.caller), 5)
     key = organisation_key("guild")
     connection.sendall(f"{head}\r\nHost: x\r\nAuthorization: Bearer {key}\r\n".encode())
@@ -39,7 +39,7 @@
 
 
 def read_answer(connection: socket.socket) -> str:
-    """Read a whole answer; its head and its body may arrive one after the other."""
+    """Read a complete answer; its head and its body may arrive separately."""
     answer = b""
     while True:
         head, end, body = answer.partition(b"\r\n\r\n")
@@ -47,14 +47,15 @@
         if end and length and len(body) >= int(length[1]):
             return answer.decode()
         part = connection.recv(4096)
-        assert part, f"broken off after {answer!r}"
+        assert part, f"connection closed after {answer!r}"
         answer += part
 
 
-def test_silent_connections_to_the_store_and_to_peers_are_replaced(tmp_path: Path) -> None:
-    """All open connections to the store and between entries go silent; new ones work.
+def test_unresponsive_connections_to_the_store_and_to_peers_are_replaced(tmp_path: Path) -> None:
+    """All open connections to the store and between entries become unresponsive; new ones work.
 
-    A watch on a silent connection reports nothing, and a configuration would never arrive.
+    A watch on an unresponsive connection reports nothing, so a new configuration would never
+    arrive.
     """
     with running_fleet(tmp_path, **THREE_ZONES) as fleet:
         fleet.fault("store", "silence-old", link="store")
@@ -62,13 +63,13 @@
         started = time.monotonic()
         fleet.cli("node", "set", "guild", "limit=5")
         wait_until(lambda: min(versions(fleet)) == 2, "the change is in force everywhere")
-        print(f"in force after {time.monotonic() - started:.2f} s of silence")
+        print(f"in force after {time.monotonic() - started:.2f} s without responses")
 
 
-def test_peers_alone_replace_silent_connections(tmp_path: Path) -> None:
-    """Connections between entries go silent while one zone has lost the store.
+def test_peers_replace_unresponsive_connections_without_the_store(tmp_path: Path) -> None:
+    """Connections between entries become unresponsive while one zone has lost the store.
 
-    That zone hears of changes only from its peers, over connections that must be new ones.
+    That zone receives changes only from its peers, which requires new connections.
     """
     with running_fleet(tmp_path, **THREE_ZONES) as fleet:
         fleet.fault("cut", "cut", link="store-1")
@@ -77,8 +78,8 @@
         wait_until(lambda: min(versions(fleet)) == 2, "the change is in force everywhere")
 
 
-def test_one_way_cuts_between_zones_do_not_keep_a_change_away(tmp_path: Path) -> None:
-    """Zone 1 has lost the store and can open no connection, but others can reach it."""
+def test_a_zone_that_cannot_open_connections_receives_a_change(tmp_path: Path) -> None:
+    """Zone 1 has lost the store and cannot open connections to peers, but peers can reach it."""
     with running_fleet(tmp_path, **THREE_ZONES) as fleet:
         fleet.fault("store", "cut", link="store-1")
         fleet.fault("out", "cut", link="peer", source_zone=1)
@@ -86,11 +87,11 @@
         wait_until(lambda: min(versions(fleet)) == 2, "the change is in force everywhere")
 
 
-def test_a_change_reaches_a_zone_whose_presence_has_lapsed(tmp_path: Path) -> None:
-    """Zone 1 has lost the store and can open no connection, for longer than its leases last.
+def test_a_change_reaches_a_zone_whose_presence_has_expired(tmp_path: Path) -> None:
+    """Zone 1 has lost the store and cannot open connections, for longer than its leases last.
 
-    It goes on serving with the units that it holds, so the others must go on telling it: a change
-    made minutes after a cut is no less urgent than one made in its first second.
+    It continues to serve with the units that it holds, so the others must continue to send it
+    updates: a change made minutes after a cut is as urgent as one made in its first second.
     """
     with running_fleet(tmp_path, **THREE_ZONES) as fleet:
         fleet.fault("store", "cut", link="store-1")
@@ -98,26 +99,26 @@
         others = [entry for entry in fleet.entries.values() if entry.zone != 1]
         wait_until(
             lambda: all(entry.status()["entries"] == len(others) for entry in others),
-            "zone 1 is off the others' lists",
+            "zone 1 is no longer in the others' member lists",
         )
         fleet.cli("node", "set", "guild", "limit=5")
         wait_until(lambda: min(versions(fleet)) == 2, "the change is in force everywhere")
 
 
-def test_an_entry_that_has_ended_is_not_called_for_ever(tmp_path: Path) -> None:
-    """An entry is killed. Those that kept a link to it must close it, or links would add up."""
+def test_links_to_a_terminated_entry_are_closed(tmp_path: Path) -> None:
+    """An entry is killed. Its peers must close their links to it, or links would accumulate."""
     with running_fleet(tmp_path, **THREE_ZONES) as fleet:
         killed = fleet.entries.pop("entry-1-1")
         killed.process.kill()
         link = f'"link to 127.0.0.1:{killed.ports.advertised}","state":"closed"'
         wait_until(
             lambda: all(link in entry.process.log_text for entry in fleet.entries.values()),
-            "all give it up",
+            "all peers close their links to it",
         )
 
 
-def test_a_zone_that_can_send_but_not_be_reached_hears_of_a_change(tmp_path: Path) -> None:
-    """Zone 1 has lost the store and nobody can open a connection to it, but it can to others."""
+def test_a_zone_that_cannot_be_reached_receives_a_change(tmp_path: Path) -> None:
+    """Zone 1 has lost the store and peers cannot connect to it, but it can connect to them."""
     with running_fleet(tmp_path, **THREE_ZONES) as fleet:
         fleet.fault("store", "cut", link="store-1")
         fleet.fault("in", "cut", link="peer", target_zone=1)
@@ -125,10 +126,10 @@
         wait_until(lambda: min(versions(fleet)) == 2, "the change is in force everywhere")
 
 
-def test_a_caller_that_goes_silent_in_its_request_is_refused(tmp_path: Path) -> None:
-    """A caller announces a body, sends half of it and says nothing more.
+def test_a_caller_that_stops_sending_its_request_is_refused(tmp_path: Path) -> None:
+    """A caller announces a body and sends only half of it.
 
-    Without a bound each such caller would hold memory and a connection for ever.
+    Without a timeout each such caller would hold memory and a connection indefinitely.
     """
     with running_fleet(tmp_path) as fleet:
         entry = fleet.entries["entry-1-1"]
@@ -140,10 +141,10 @@
         assert "body-late" in answer
 
 
-def test_a_caller_that_stops_reading_frees_its_slot(tmp_path: Path) -> None:
-    """A caller asks for a large answer and takes nothing of it.
+def test_the_slot_of_a_caller_that_stops_reading_is_freed(tmp_path: Path) -> None:
+    """A caller requests a large answer and does not read it.
 
-    Its unit of the limit and its executor's slot must come free all the same.
+    Its unit of the limit and its slot on the executor must still be released.
     """
     with running_fleet(tmp_path, organisations={"guild": {"limit": 1}}) as fleet:
         fleet.behave([], answer_bytes=60_000_000)
@@ -152,7 +153,7 @@
             connection.sendall(b"\r\n")
             wait_until(lambda: entry.status()["organisations"]["guild"]["running"] == 1, "it runs")
             wait_until(
-                lambda: entry.status()["organisations"]["guild"]["running"] == 0, "it is given up"
+                lambda: entry.status()["organisations"]["guild"]["running"] == 0, "it is aborted"
             )
         fleet.behave([], answer_bytes=0)
         wait_until(lambda: send_one(entry, Call()).status == 200, "the next request runs")
