--- a/vanillawell/coordination/peers.py
+++ b/vanillawell/coordination/peers.py
@@ -212,7 +212,7 @@
             self._close(address, link)
 
     async def _send_heartbeats(self, stream: PeerLink, address: PeerAddress, link: Link) -> None:
-        """Send heartbeats and wait for each acknowledgement; a time-out ends the connection.
+        """Send heartbeats and wait for each acknowledgement; a timeout ends the connection.
 
         A connection whose state was dropped by a device on the path reports no error. The missing
         acknowledgement reveals it, and the connection is replaced.
