--- a/vanillawell/coordination/admission_check.py
+++ b/vanillawell/coordination/admission_check.py
@@ -6,7 +6,7 @@
 
 from vanillawell.protocol.refusals import Reason, Refusal
 from vanillawell.protocol.verdict import Verdict
-from vanillawell.state.admission import QueueState, admit, spread, worth_starting
+from vanillawell.state.admission import QueueState, admit, with_jitter, worth_starting
 from vanillawell.state.retries import Failure
 
 if TYPE_CHECKING:
@@ -16,7 +16,7 @@
     from vanillawell.coordination.tickets import CheckedRequest, LimitSource, Ticket
     from vanillawell.protocol.backend_calls import Answer
     from vanillawell.state.policy import OrganisationPolicy
-    from vanillawell.state.queueing import Waiting
+    from vanillawell.state.queueing import WaitingRequest
 
 NO_BACKEND_RETRY_AFTER = 1.0
 """Seconds after which to retry a service whose backend servers are unreachable."""
@@ -71,7 +71,7 @@
     def worth_starting(self, pool: PoolRuntime, item: Waiting, now: float) -> bool:
         """Return whether a queued request has enough time left to be started."""
         others_wait = pool.queue.length(item.organisation) > 0
-        return worth_starting(item.deadline - now, pool.service_time.usual_least, others_wait)
+        return worth_starting(item.deadline - now, pool.service_time.typical_minimum, others_wait)
 
     def cannot_finish(self, pool: PoolRuntime, ticket: Ticket) -> Answer | Refusal:
         """Return the final outcome of a request that has too little time left."""
--- a/vanillawell/coordination/dispatch.py
+++ b/vanillawell/coordination/dispatch.py
@@ -22,8 +22,8 @@
 from vanillawell.protocol.backend_calls import Answer, Attempt, AttemptError
 from vanillawell.protocol.refusals import Reason, Refusal
 from vanillawell.protocol.verdict import Verdict
-from vanillawell.state.charges import ChargeBook
-from vanillawell.state.queueing import Waiting
+from vanillawell.state.charges import ChargeCounter
+from vanillawell.state.queueing import WaitingRequest
 from vanillawell.state.retries import (
     FailedAttempt,
     Failure,
@@ -40,7 +40,7 @@
 
     from vanillawell.config.settings import ExperimentSettings
     from vanillawell.protocol.backend_calls import BackendLink, LinkOpener
-    from vanillawell.state.board import DemandBoard
+    from vanillawell.state.demand_table import DemandTable
     from vanillawell.state.policy import Policy
     from vanillawell.telemetry import Telemetry
 
@@ -63,7 +63,7 @@
         self,
         tasks: TaskGroup,
         limits: LimitSource,
-        board: DemandBoard,
+        board: DemandTable,
         telemetry: Telemetry,
         rng: random.Random,
         source: str,
@@ -267,7 +267,7 @@
         if not ticket.running:
             self._finish(ticket, self._admission.cannot_finish(pool, ticket))
 
-    def _start(self, pool: PoolRuntime, item: Waiting, executor: str, now: float) -> None:
+    def _start(self, pool: PoolRuntime, item: WaitingRequest, executor: str, now: float) -> None:
         ticket = self._tickets[item]
         link = pool.links[executor]
         ticket.running += 1
@@ -304,7 +304,7 @@
             # An unexpected error must not terminate the entry and all its requests. Whether the
             # backend server ran this request is unknown.
             log.exception("attempt failed unexpectedly")
-            error = AttemptError(Failure.NO_WHOLE_ANSWER, "unexpected error")
+            error = AttemptError(Failure.INCOMPLETE_RESPONSE, "unexpected error")
         await link.close_idle()
         now = clock.read()
         del self._tickets_by_attempt[attempt]
@@ -343,16 +343,16 @@
         failure = failure_of(error, answer)
         ticket.running -= 1
         if failure is None:
-            pool.health.note_success(executor)
+            pool.health.record_success(executor)
             ticket.conclude_late(answer)
             self._finish(ticket, answer)
             return
         if failure is Failure.REFUSED_FULL:
-            pool.health.note_full(executor, now, pool.running_at(executor))
+            pool.health.record_full(executor, now, pool.running_at(executor))
         elif failure is not Failure.TOO_LATE:
             self._note_failure(pool, executor, failure, now)
             ticket.waiting.tried.add(executor)
-        ticket.may_have_run |= failure is Failure.NO_WHOLE_ANSWER
+        ticket.may_have_run |= failure is Failure.INCOMPLETE_RESPONSE
         ticket.last_answer = answer or ticket.last_answer
         if ticket.outcome is not None:
             if not ticket.running:
@@ -363,7 +363,7 @@
 
     def _note_failure(self, pool: PoolRuntime, executor: str, failure: Failure, now: float) -> None:
         sent = failure is not Failure.NOT_SENT
-        if pool.health.note_failure(executor, now, len(pool.links), sent):
+        if pool.health.record_failure(executor, now, len(pool.links), sent):
             self._telemetry.ejected(executor, pool.policy.name)
 
     def _retry_or_end(
--- a/vanillawell/coordination/job_runner.py
+++ b/vanillawell/coordination/job_runner.py
@@ -15,11 +15,11 @@
 from vanillawell.protocol.store import Compare, Put, Transaction
 from vanillawell.state.jobs import (
     Job,
-    JobBook,
+    JobRegistry,
     JobState,
     TaskReport,
     TaskState,
-    conclude,
+    apply_report,
     jobs_to_start,
     jobs_to_stop,
 )
--- a/vanillawell/coordination/lease_keeper.py
+++ b/vanillawell/coordination/lease_manager.py
@@ -14,10 +14,10 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from vanillawell.coordination.leases import REFERENCE_CLOCKS, surely_passed
+from vanillawell.coordination.leases import REFERENCE_CLOCKS, min_elapsed
 from vanillawell.protocol.lease_bounds import ExecutorBound, LeaseBounds
 from vanillawell.protocol.store import Put
-from vanillawell.state.ledger import RecalledBound
+from vanillawell.state.ledger import InheritedLeaseBound
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -27,7 +27,7 @@
 
 log = logging.getLogger(__name__)
 
-ROUNDING = 0.1
+STORED_BOUND_MARGIN = 0.1
 """Seconds added to a stored bound."""
 
 PASSED_ON = 0.01
@@ -50,7 +50,7 @@
     """Whether it is the last word of an owner that hands over."""
 
 
-class LeaseKeeper:
+class LeaseManager:
     """Say for one term which leases may be extended, and what is stored of the others."""
 
     def __init__(
@@ -83,16 +83,16 @@
         """Note that the work of former terms is known, and executors are asked from now on."""
         self._began = now
 
-    def recalled_bound(self, executor: str, now: float) -> RecalledBound:
+    def recalled_bound(self, executor: str, now: float) -> InheritedLeaseBound:
         """Return what is known of an executor from former terms, on this process's clock.
 
         Nothing is known yet of the time that has passed since it was stored.
         """
         bound = self._former.of(executor)
         if bound is None:
-            return RecalledBound(now + self._longest_doubt, now)
-        return RecalledBound(
-            now + bound.left + ROUNDING, now - bound.known_for, bound.machine, bound.life
+            return InheritedLeaseBound(now + self._longest_doubt, now)
+        return InheritedLeaseBound(
+            now + bound.left + STORED_BOUND_MARGIN, now - bound.known_for, bound.machine, bound.life
         )
 
     def count_time_passed(self, executors: Iterable[Executor], now: float) -> None:
@@ -100,12 +100,12 @@
         unreached = [item for item in executors if item.runs and not item.contacted]
         if not unreached:
             return
-        passed = surely_passed(self._former.clocks, self._clocks.at_least(now))
+        passed = min_elapsed(self._former.clocks, self._clocks.lower_bound(now))
         for executor in unreached:
             bound = self._former.of(executor.name)
             if bound is not None:
-                over = now + max(0.0, bound.left - passed) + ROUNDING
-                executor.lease_over = min(executor.lease_over, over)
+                over = now + max(0.0, bound.left - passed) + STORED_BOUND_MARGIN
+                executor.lease_expires_at = min(executor.lease_expires_at, over)
 
     def may_extend(self, executor: str) -> bool:
         """Tell whether leases of an executor may be extended."""
@@ -158,7 +158,7 @@
         if not last and not self._drafts and self._stored == silent.keys():
             return None
         others = {item.name: self._bound(item, now) for item in charged if item.name not in silent}
-        clocks = itertools.islice(self._clocks.at_most(now).items(), REFERENCE_CLOCKS)
+        clocks = itertools.islice(self._clocks.upper_bound(now).items(), REFERENCE_CLOCKS)
         document = LeaseBounds(self._token, silent, others if last else {}, dict(clocks))
         return self._begin_write(document, last)
 
@@ -199,7 +199,7 @@
         Named too early, one that is sound would be renewed only after two more writes.
         """
         if executor.contacted:
-            return executor.silent_since is not None
+            return executor.unresponsive_since is not None
         late = self._began is not None and now > self._began + CONTACT_BOUND
         return late or executor.name in self._stored
 
@@ -218,6 +218,6 @@
         """Return what to store of an executor; a bound that was only found grows no more by it."""
         facts = executor.facts
         is_found = not executor.contacted and self._former.of(executor.name) is not None
-        added = ROUNDING - PASSED_ON if is_found else 0.0
-        left, known_for = executor.lease_over - now - added, now - executor.known_since
+        added = STORED_BOUND_MARGIN - PASSED_ON if is_found else 0.0
+        left, known_for = executor.lease_expires_at - now - added, now - executor.tracked_since
         return ExecutorBound(max(0.0, left), known_for, facts.machine, facts.incarnation)
--- a/vanillawell/coordination/limit_manager.py
+++ b/vanillawell/coordination/limit_manager.py
@@ -20,7 +20,7 @@
     Demand,
     Ledger,
     OrganisationLimit,
-    least_units,
+    min_retained_units,
     plan_ledger,
     usable_units,
 )
@@ -33,7 +33,7 @@
     from vanillawell.coordination.membership import Membership
     from vanillawell.protocol.documents import StoreKeys
     from vanillawell.protocol.store import Store
-    from vanillawell.state.board import DemandBoard
+    from vanillawell.state.demand_table import DemandTable
     from vanillawell.state.policy import OrganisationPolicy, Policy
     from vanillawell.telemetry import Telemetry
 
@@ -65,7 +65,7 @@
         store: Store,
         keys: StoreKeys,
         membership: Membership,
-        board: DemandBoard,
+        board: DemandTable,
         timing: TimingSettings,
         telemetry: Telemetry,
         rng: random.Random,
@@ -250,7 +250,7 @@
         if copy.revision < 0 or copy.unconfirmed_bound is not None:
             return True
         lacking = (
-            max(self._wanted(organisation), self._organisation_limit(organisation).even_part)
+            max(self._wanted(organisation), self._organisation_limit(organisation).even_share)
             > copy.usable
         )
         return lacking and now - copy.read_at > COPY_MAX_AGE
@@ -304,7 +304,7 @@
             wanted=self._wanted(organisation),
             charged=self._charged(organisation),
             recent_peak=self._copies[organisation].recent_peak,
-            elsewhere=self._board.units_needed(organisation, limit.floor),
+            needed_elsewhere=self._board.units_needed(organisation, limit.floor),
         )
 
     async def _write(self, plans: dict[str, Ledger]) -> None:
--- a/vanillawell/coordination/peers.py
+++ b/vanillawell/coordination/peers.py
@@ -28,7 +28,7 @@
     SourceReport,
     Versions,
 )
-from vanillawell.state.board import Row
+from vanillawell.state.demand_table import Row
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable, Mapping
@@ -41,7 +41,7 @@
     from vanillawell.protocol.documents import Presence
     from vanillawell.protocol.peer_calls import PeerLink, PeerTransport
     from vanillawell.protocol.peer_messages import Message, NameTable
-    from vanillawell.state.board import DemandBoard
+    from vanillawell.state.demand_table import DemandTable
     from vanillawell.telemetry import Telemetry
 
 MAX_HEARTBEAT_BYTES_PER_SECOND = 3_500.0
--- a/vanillawell/coordination/pool_runtime.py
+++ b/vanillawell/coordination/pool_runtime.py
@@ -5,23 +5,23 @@
 from collections import Counter
 from typing import TYPE_CHECKING
 
-from vanillawell.state.allotment import (
+from vanillawell.state.health import PoolHealth
+from vanillawell.state.queueing import FairQueue, SlotUse
+from vanillawell.state.response_times import ServiceTime
+from vanillawell.state.retries import RetryBudget
+from vanillawell.state.routing import Candidate, RoutingView, connection_bound, subset
+from vanillawell.state.slot_allocation import (
     PoolDemand,
     executor_quotas,
     round_parts,
     source_targets,
 )
-from vanillawell.state.health import PoolHealth
-from vanillawell.state.queueing import FairQueue, SlotUse
-from vanillawell.state.retries import RetryBudget
-from vanillawell.state.routing import Candidate, RoutingView, connection_bound, subset
-from vanillawell.state.silence import ServiceTime
 
 if TYPE_CHECKING:
     from collections.abc import Mapping, Set
 
     from vanillawell.protocol.backend_calls import BackendLink, LinkOpener
-    from vanillawell.state.board import DemandBoard
+    from vanillawell.state.demand_table import DemandTable
     from vanillawell.state.policy import PoolPolicy
 
 EXCESS_ATTEMPT_INTERVAL = 0.05
--- a/vanillawell/coordination/tickets.py
+++ b/vanillawell/coordination/tickets.py
@@ -16,7 +16,7 @@
     from vanillawell.coordination.pool_runtime import PoolRuntime
     from vanillawell.protocol.backend_calls import Answer, Attempt, AttemptError, Forward
     from vanillawell.protocol.refusals import Refusal
-    from vanillawell.state.queueing import Waiting
+    from vanillawell.state.queueing import WaitingRequest
 
 
 class LimitSource(Protocol):
--- a/vanillawell/tests/orphan_claims_tests.py
+++ b/vanillawell/tests/orphan_claims_tests.py
@@ -10,7 +10,7 @@
 from vanillawell.exceptions import StoreOutcomeUnknownError
 from vanillawell.protocol.claim_documents import Claim
 from vanillawell.protocol.store import KeyValue, Transaction, TransactionResult
-from vanillawell.tests.fakes import RacyStore
+from vanillawell.tests.fakes import FaultyStore
 
 KEY = "/t/claim/guild/k"
 
--- a/vanillawell/tests/planner_tests.py
+++ b/vanillawell/tests/planner_tests.py
@@ -14,7 +14,7 @@
 from vanillawell.state.pools import Assignment, Phase, Placement
 from vanillawell.telemetry import Telemetry
 from vanillawell.tests.builders import presence, store_settings, timing
-from vanillawell.tests.fakes import RacyStore
+from vanillawell.tests.fakes import FaultyStore
 from vanillawell.transport.admin_client import AdminAccess
 
 if TYPE_CHECKING:
