--- a/vanillawell/coordination/admission_check.py
+++ b/vanillawell/coordination/admission_check.py
@@ -60,22 +60,22 @@
 
     def no_units(self, verdict: Verdict) -> Refusal:
         """Return the refusal of a request whose limit units cannot be acquired now."""
-        wait = spread(NO_UNITS_RETRY_AFTER, self._rng)
+        wait = with_jitter(NO_UNITS_RETRY_AFTER, self._rng)
         return Refusal(Reason.NO_UNITS, verdict, retry_after=wait)
 
     def no_backend(self, detail: str = "") -> Refusal:
         """Return the refusal of a request for which no backend server can be reached."""
-        wait = spread(NO_BACKEND_RETRY_AFTER, self._rng)
+        wait = with_jitter(NO_BACKEND_RETRY_AFTER, self._rng)
         return Refusal(Reason.NO_BACKEND, Verdict.NOT_RUN, detail, wait)
 
-    def worth_starting(self, pool: PoolRuntime, item: Waiting, now: float) -> bool:
+    def worth_starting(self, pool: PoolRuntime, item: WaitingRequest, now: float) -> bool:
         """Return whether a queued request has enough time left to be started."""
         others_wait = pool.queue.length(item.organisation) > 0
         return worth_starting(item.deadline - now, pool.service_time.typical_minimum, others_wait)
 
     def cannot_finish(self, pool: PoolRuntime, ticket: Ticket) -> Answer | Refusal:
         """Return the final outcome of a request that has too little time left."""
-        wait = spread(pool.service_time.mean, self._rng)
+        wait = with_jitter(pool.service_time.mean, self._rng)
         refusal = Refusal(Reason.CANNOT_FINISH, ticket.verdict_if_aborted, retry_after=wait)
         return ticket.last_answer or refusal
 
--- a/vanillawell/coordination/dispatch.py
+++ b/vanillawell/coordination/dispatch.py
@@ -63,7 +63,7 @@
         self,
         tasks: TaskGroup,
         limits: LimitSource,
-        board: DemandTable,
+        demand_table: DemandTable,
         telemetry: Telemetry,
         rng: random.Random,
         source: str,
@@ -74,7 +74,7 @@
     ) -> None:
         self._tasks = tasks
         self._limits = limits
-        self._board = board
+        self._demand_table = demand_table
         self._telemetry = telemetry
         self._admission = AdmissionCheck(limits, rng)
         self._source = source
@@ -88,13 +88,13 @@
         self._pools: dict[str, PoolRuntime] = {}
         self._shares: Mapping[str, float] = {}
         self._policy: Policy | None = None
-        self._tickets: dict[Waiting, Ticket] = {}
-        self._charges = ChargeBook()
+        self._tickets: dict[WaitingRequest, Ticket] = {}
+        self._charges = ChargeCounter()
         self._link_monitor = LinkMonitor(tasks, telemetry, self._hedge, self.dispatch)
         self._tickets_by_attempt: dict[Attempt, Ticket] = {}
 
     @property
-    def charges(self) -> ChargeBook:
+    def charges(self) -> ChargeCounter:
         """Return the units of organisations' limits that are in use."""
         return self._charges
 
@@ -154,11 +154,11 @@
         refusal = self._admission.on_arrival(request, pool, organisation, now)
         if refusal:
             return refusal
-        waiting = Waiting(request.organisation, request.urgent, now, request.deadline)
+        waiting = WaitingRequest(request.organisation, request.urgent, now, request.deadline)
         ticket = Ticket(request, waiting)
         self._tickets[waiting] = ticket
         pool.queue.add(waiting)
-        pool.budget.note_first_attempt()
+        pool.budget.record_first_attempt()
         self._limits.handle_demand_change(request.organisation)
         self.dispatch(pool, now)
         return ticket
@@ -193,7 +193,7 @@
             now = clock.read()
             # An entry that is cut off from all peers receives no reports. Without expiry their last
             # reported demand would keep slots and units reserved for them indefinitely.
-            self._board.expire(now)
+            self._demand_table.expire(now)
             for organisation in self._charges.release_due(now):
                 self._limits.handle_demand_change(organisation)
             for pool in self._pools.values():
@@ -212,7 +212,7 @@
     def _refresh_all(self) -> None:
         now = clock.read()
         for pool in self._pools.values():
-            pool.refresh(self._board, self._shares, now)
+            pool.refresh(self._demand_table, self._shares, now)
 
     def _maintain(self, pool: PoolRuntime, now: float) -> None:
         if len(pool.queue) or pool.full:
@@ -236,12 +236,12 @@
     def dispatch(self, pool: PoolRuntime, now: float) -> None:
         """Start the queued requests of a pool that may start now."""
         if now - pool.refreshed_at > SLOT_REFRESH_INTERVAL:
-            pool.refresh(self._board, self._shares, now)
+            pool.refresh(self._demand_table, self._shares, now)
 
         def may_start(organisation: str) -> bool:
             return self._charges.charged(organisation) < self._limits.usable(organisation, now)
 
-        def sort_key(item: Waiting) -> float:
+        def sort_key(item: WaitingRequest) -> float:
             return (
                 item.arrived
                 if self._fifo
@@ -261,7 +261,7 @@
                 return
             self._start(pool, item, executor, now)
 
-    def _end_cannot_finish(self, pool: PoolRuntime, item: Waiting) -> None:
+    def _end_cannot_finish(self, pool: PoolRuntime, item: WaitingRequest) -> None:
         """End a request that cannot finish in time, unless an earlier attempt is still running."""
         ticket = self._tickets[item]
         if not ticket.running:
@@ -273,7 +273,7 @@
         ticket.running += 1
         self._charges.charge(item.organisation)
         pool.adjust_slots_used(item.organisation, 1, now)
-        pool.note_start(executor, now)
+        pool.record_start(executor, now)
         attempt = Attempt(now, lambda: self._may_send(ticket))
         self._tickets_by_attempt[attempt] = ticket
         link.attempts.add(attempt)
@@ -317,7 +317,7 @@
         self, ticket: Ticket, attempt: Attempt, error: AttemptError | None, now: float
     ) -> None:
         organisation = ticket.request.organisation
-        if error is not None and error.failure is Failure.NO_WHOLE_ANSWER:
+        if error is not None and error.failure is Failure.INCOMPLETE_RESPONSE:
             self._charges.release_later(organisation, attempt.started + self._longest_request)
         else:
             self._charges.release(organisation)
--- a/vanillawell/coordination/job_runner.py
+++ b/vanillawell/coordination/job_runner.py
@@ -56,7 +56,7 @@
         self._pressure = pressure
         self._telemetry = telemetry
         self._role = Role(store, keys.job_runner, membership)
-        self._registry = JobBook()
+        self._registry = JobRegistry()
         self._revision = 0
 
     async def run(self) -> None:
@@ -82,10 +82,10 @@
 
     async def _read(self) -> None:
         stored = await self._store.get(self._key)
-        self._registry = JobBook.from_bytes(stored.value) if stored else JobBook()
+        self._registry = JobRegistry.from_bytes(stored.value) if stored else JobRegistry()
         self._revision = stored.mod_revision if stored else 0
 
-    async def _write(self, registry: JobBook) -> None:
+    async def _write(self, registry: JobRegistry) -> None:
         """Write the job registry; raise NotHolderError if it or the role has changed meanwhile."""
         if registry is self._registry:
             return
@@ -117,7 +117,7 @@
             if report is None:
                 # The start was recorded but never reached the platform.
                 report = TaskReport(TaskState.LOST, 0.0, 0.0, 0.0)
-            await self._write(conclude(self._registry, job, report))
+            await self._write(apply_report(self._registry, job, report))
             if report.state is not TaskState.RUNNING:
                 self._log(job, report.state)
 
--- a/vanillawell/coordination/ledger_copy.py
+++ b/vanillawell/coordination/ledger_copy.py
@@ -33,7 +33,7 @@
     previous_peak: int = 0
     peak_since: float = 0.0
 
-    def note_wanted(self, wanted: int, now: float) -> None:
+    def record_demand(self, wanted: int, now: float) -> None:
         """Update the peak demand of the current window."""
         if now - self.peak_since > PEAK_WINDOW:
             self.previous_peak, self.current_peak, self.peak_since = self.current_peak, 0, now
--- a/vanillawell/coordination/limit_manager.py
+++ b/vanillawell/coordination/limit_manager.py
@@ -65,7 +65,7 @@
         store: Store,
         keys: StoreKeys,
         membership: Membership,
-        board: DemandTable,
+        demand_table: DemandTable,
         timing: TimingSettings,
         telemetry: Telemetry,
         rng: random.Random,
@@ -73,7 +73,7 @@
         self._store = store
         self._keys = keys
         self._membership = membership
-        self._board = board
+        self._demand_table = demand_table
         self._timing = timing
         self._telemetry = telemetry
         self._rng = rng
@@ -143,7 +143,7 @@
         if copy is None:
             return
         wanted = self._wanted(organisation)
-        copy.note_wanted(wanted, clock.read())
+        copy.record_demand(wanted, clock.read())
         if wanted > copy.usable or self._stopping:
             self._dirty.add(organisation)
             self._wake.set()
@@ -280,7 +280,7 @@
     def _plan(self, organisation: str, now: float) -> Ledger | None:
         copy = self._copies[organisation]
         terminated = self._membership.ended(copy.ledger.holders) - {self._holder}
-        copy.note_wanted(self._wanted(organisation), now)
+        copy.record_demand(self._wanted(organisation), now)
         if self._stopping:
             planned = copy.ledger.with_units(self._holder, 0)
             return None if planned == copy.ledger else planned
@@ -304,7 +304,7 @@
             wanted=self._wanted(organisation),
             charged=self._charged(organisation),
             recent_peak=self._copies[organisation].recent_peak,
-            needed_elsewhere=self._board.units_needed(organisation, limit.floor),
+            needed_elsewhere=self._demand_table.units_needed(organisation, limit.floor),
         )
 
     async def _write(self, plans: dict[str, Ledger]) -> None:
@@ -381,8 +381,8 @@
         copy = self._copies[organisation]
         limit = self._organisation_limit(organisation)
         held = self.held(organisation)
-        minimum = least_units(limit, demand)
-        contended = demand.wanted + demand.elsewhere > limit.current.limit
+        minimum = min_retained_units(limit, demand)
+        contended = demand.wanted + demand.needed_elsewhere > limit.current.limit
         step = max(1, int(held * RELEASE_STEP))
         copy.contention_bound = max(minimum, held - step) if contended and self._reachable else None
         self._recompute(organisation)
--- a/vanillawell/coordination/peers.py
+++ b/vanillawell/coordination/peers.py
@@ -101,7 +101,7 @@
         tasks: TaskGroup,
         membership: Membership,
         documents: Mapping[DocumentKind, DocumentSync],
-        board: DemandBoard,
+        demand_table: DemandTable,
         timing: TimingSettings,
         telemetry: Telemetry,
         transport: PeerTransport,
@@ -114,7 +114,7 @@
         self._membership = membership
         self._documents = documents
         self._configuration = documents[DocumentKind.CONFIGURATION]
-        self._board = board
+        self._demand_table = demand_table
         self._timing = timing
         self._telemetry = telemetry
         self._transport = transport
@@ -307,7 +307,9 @@
             return False
         if sender.zone != me.zone:
             self._direct_zones.add(report.source)
-        return self._board.receive(report.source, report.entries, report.sequence, report.rows, now)
+        return self._demand_table.receive(
+            report.source, report.entries, report.sequence, report.rows, now
+        )
 
     def _heartbeat(self, now: float, same_zone: bool) -> Beat:
         reports = self._reports_for_zone_peers(now) if same_zone else [self._zone_sum(now)]
@@ -324,7 +326,7 @@
         own = SourceReport(self._membership.me.instance, 1, sequence_now(), rows)
         relayed = [
             SourceReport(zone, report.entries, report.sequence, tuple(report.rows.values()))
-            for zone, report in self._board.reports.items()
+            for zone, report in self._demand_table.reports.items()
             if zone in self._direct_zones
         ]
         return [own, *relayed]
@@ -333,7 +335,11 @@
         """Return the total of this entry and of the entries of its zone that report to it."""
         me = self._membership.me
         zone_peers = {member.instance for member in self._membership.in_zone(me.zone)}
-        reports = [self._board.reports[name] for name in zone_peers if name in self._board.reports]
+        reports = [
+            self._demand_table.reports[name]
+            for name in zone_peers
+            if name in self._demand_table.reports
+        ]
         rows = itertools.chain(self._own_rows(now), *(item.rows.values() for item in reports))
         return SourceReport(me.zone, 1 + len(reports), sequence_now(), sum_rows(rows))
 
--- a/vanillawell/coordination/pool_runtime.py
+++ b/vanillawell/coordination/pool_runtime.py
@@ -119,14 +119,14 @@
         ]
         return [row for row in (*rows, *waiting) if row[1] or row[2] > MIN_REPORTED_USE]
 
-    def refresh(self, board: DemandBoard, shares: Mapping[str, float], now: float) -> None:
+    def refresh(self, demand_table: DemandTable, shares: Mapping[str, float], now: float) -> None:
         """Recalculate the division of the pool's slots from the latest reports."""
         self.refreshed_at = now
-        demand = board.pool_demand(self.policy.name, self._source, self.own_demand())
+        demand = demand_table.pool_demand(self.policy.name, self._source, self.own_demand())
         demand = _drop_unknown_organisations(demand, shares)
         names = tuple(name for name in self.links if not self.health.of(name).ejected(now))
         total = len(names) * self.policy.slots
-        self._others_used = board.slots_used(self.policy.name)
+        self._others_used = demand_table.slots_used(self.policy.name)
         wanted = sum(demand.by_organisation().values())
         self._full = wanted > total
         self._wanted = wanted
@@ -154,9 +154,9 @@
             avoid,
         )
 
-    def note_start(self, executor: str, now: float) -> None:
+    def record_start(self, executor: str, now: float) -> None:
         """Record the start of an attempt, and whether it exceeds this entry's own slots."""
-        self.health.note_start(executor, now)
+        self.health.record_start(executor, now)
         if self._full and self.running_at(executor) >= self._quotas.get(executor, 0):
             self._exceeded_at = now
 
--- a/vanillawell/coordination/tickets.py
+++ b/vanillawell/coordination/tickets.py
@@ -50,7 +50,7 @@
     """An accepted request and its state until its single final outcome."""
 
     request: CheckedRequest
-    waiting: Waiting
+    waiting: WaitingRequest
     done: anyio.Event = field(default_factory=anyio.Event)
     outcome: Answer | Refusal | None = None
     may_have_run: bool = False
--- a/vanillawell/tests/claims_tests.py
+++ b/vanillawell/tests/claims_tests.py
@@ -32,7 +32,7 @@
         self.members = {"entry-1": self.me}
 
 
-class LossyStore(RacyStore):
+class LossyStore(FaultyStore):
     """A store that grants leases and drops its answers to some conclusions."""
 
     def __init__(self) -> None:
--- a/vanillawell/tests/limit_manager_tests.py
+++ b/vanillawell/tests/limit_manager_tests.py
@@ -54,7 +54,7 @@
 
     def __init__(self, machine: LimitRaces, name: str) -> None:
         self.demand = 0
-        self.board = DemandTable()
+        self.demand_table = DemandTable()
         self.me = presence(name, incarnation=f"run-{machine.next_run()}")
         self.members = FakeMembership(self.me, machine.members, machine.terminated)
         store: Any = machine.store
@@ -63,7 +63,7 @@
             store,
             StoreKeys("/t"),
             members,
-            self.board,
+            self.demand_table,
             timing(),
             Telemetry(),
             random.Random(1),
@@ -168,7 +168,7 @@
     def exchange_demand(self) -> None:
         for holder, other in itertools.permutations(self.holders, 2):
             rows = (Row("pool", ORGANISATION, other.demand, 0.0),)
-            holder.board.receive(other.me.instance, 1, self.next_run(), rows, self.time)
+            holder.demand_table.receive(other.me.instance, 1, self.next_run(), rows, self.time)
 
     @rule(number=st.integers(0, HOLDERS - 1))
     def kill_and_restart(self, number: int) -> None:
--- a/vanillawell/tests/orphan_claims_tests.py
+++ b/vanillawell/tests/orphan_claims_tests.py
@@ -19,7 +19,7 @@
 CLAIM = Claim("entry-1/a", "token", FINGERPRINT)
 
 
-class InterceptingStore(RacyStore):
+class InterceptingStore(FaultyStore):
     """A store that runs a callback while a deletion is in flight, and can drop its answers."""
 
     def __init__(self) -> None:
--- a/vanillawell/tests/planner_tests.py
+++ b/vanillawell/tests/planner_tests.py
@@ -31,7 +31,7 @@
         self.lease = 7
 
 
-def planner_of(store: RacyStore, name: str) -> tuple[Planner, AssignmentSync]:
+def planner_of(store: FaultyStore, name: str) -> tuple[Planner, AssignmentSync]:
     member: Any = LeasedMember(presence(name))
     anything: Any = None
     plain: Any = store
@@ -61,7 +61,7 @@
     If its write succeeded, both planners would remove an instance of the same pool, and the pool
     could fall below its budget.
     """
-    store = RacyStore()
+    store = FaultyStore()
     first, first_sync = planner_of(store, "entry-1")
     second, second_sync = planner_of(store, "entry-2")
 
@@ -81,7 +81,7 @@
 
 def test_a_step_checked_against_an_outdated_assignment_is_not_written() -> None:
     """An operator starts a move between a planner's check and its write."""
-    store = RacyStore()
+    store = FaultyStore()
     planner, assignment_sync = planner_of(store, "entry-1")
 
     async def run_script() -> None:
@@ -96,7 +96,7 @@
 
 
 def test_only_one_planner_acquires_the_role() -> None:
-    store = RacyStore()
+    store = FaultyStore()
     first, _ = planner_of(store, "entry-1")
     second, _ = planner_of(store, "entry-2")
 
