--- a/vanillawell/tests/rollout_proof_tests.py
+++ b/vanillawell/tests/rollout_proof_tests.py
@@ -250,8 +250,8 @@
     Its lease must outlast the start of the command, however slow that is: the command does not
     wait for an entry whose presence has expired.
     """
-    slow_store = {"poll_interval": 0.5, "lease_ttl": 30.0, "timeout": 0.7}
-    with running_fleet(tmp_path, entries_per_zone=2, store=slow_store) as fleet:
+    long_lease = {"poll_interval": 0.5, "lease_ttl": 30.0, "timeout": 0.7}
+    with running_fleet(tmp_path, entries_per_zone=2, store=long_lease) as fleet:
         document = fleet.tree_document()
         document["nodes"]["guild"]["settings"]["limit"] = 5
         path = tmp_path / "changed.jsonc"
