--- a/vanillawell/commands/report.py
+++ b/vanillawell/commands/report.py
@@ -11,7 +11,7 @@
 from vanillawell.commands.rollout import ASK_TIMEOUT, list_entries
 from vanillawell.config.effective import effective_value
 from vanillawell.exceptions import SettingsError
-from vanillawell.protocol.calls import NoAnswerError, NotSentError
+from vanillawell.protocol.call_errors import NoAnswerError, NotSentError
 from vanillawell.state.burn import WindowCounts, burn_rate
 
 if TYPE_CHECKING:
--- a/vanillawell/commands/rollout.py
+++ b/vanillawell/commands/rollout.py
@@ -9,7 +9,7 @@
 import anyio
 
 from vanillawell.commands.printing import print_line
-from vanillawell.protocol.calls import NoAnswerError, NotSentError
+from vanillawell.protocol.call_errors import NoAnswerError, NotSentError
 from vanillawell.protocol.documents import Presence
 
 if TYPE_CHECKING:
@@ -44,7 +44,7 @@
 
 async def list_entries(store: Store, keys: StoreKeys) -> list[Presence]:
     """Return all entries that are registered."""
-    listing = await store.list(keys.all_presence)
+    listing = await store.list(keys.presence_prefix)
     return [Presence.from_bytes(item.value) for item in listing.items]
 
 
--- a/vanillawell/commands/status.py
+++ b/vanillawell/commands/status.py
@@ -10,7 +10,7 @@
 from vanillawell.commands.context import OutputFormat
 from vanillawell.commands.printing import print_document, print_rows
 from vanillawell.commands.rollout import ASK_TIMEOUT, list_entries
-from vanillawell.protocol.calls import NoAnswerError, NotSentError
+from vanillawell.protocol.call_errors import NoAnswerError, NotSentError
 
 if TYPE_CHECKING:
     from vanillawell.commands.context import CommandContext
--- a/vanillawell/config/effective.py
+++ b/vanillawell/config/effective.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from vanillawell.config.tree import OperatorTree
 
-BUILT_IN = "(default)"
+BUILT_IN_LEVEL = "(default)"
 """Level shown for values that no node sets."""
 
 
@@ -28,7 +28,7 @@
     levels = ((name, getattr(tree.nodes[name].settings, key)) for name in tree.ancestry(node))
     found = next(((name, value) for name, value in levels if value is not None), None)
     if found is None:
-        return EffectiveValue(key, getattr(DEFAULTS, key), BUILT_IN)
+        return EffectiveValue(key, getattr(DEFAULTS, key), BUILT_IN_LEVEL)
     return EffectiveValue(key, found[1], found[0])
 
 
--- a/vanillawell/coordination/advice_requester.py
+++ b/vanillawell/coordination/advice_requester.py
@@ -9,7 +9,7 @@
 import anyio
 
 from vanillawell import clock
-from vanillawell.protocol.calls import NoAnswerError, NotSentError
+from vanillawell.protocol.call_errors import NoAnswerError, NotSentError
 from vanillawell.protocol.machine_calls import AdviceBusyError
 from vanillawell.state.executors import by_service
 from vanillawell.state.placement import cpu_utilisation
@@ -112,7 +112,7 @@
     async def _ask(self, question: Question) -> None:
         step, names, now = question.step, question.executors, clock.read()
         try:
-            tickets = await self._advice.ask(step.tasks[0].task_id, names)
+            tickets = await self._advice.request_tickets(step.tasks[0].task_id, names)
         except (NotSentError, NoAnswerError, AdviceBusyError) as error:
             fields = {"job": step.record.job.job_id, "step": step.position, "why": repr(error)}
             log.warning("no advice", extra=fields)
--- a/vanillawell/coordination/candidate.py
+++ b/vanillawell/coordination/candidate.py
@@ -22,7 +22,7 @@
 
 if TYPE_CHECKING:
     from vanillawell.config.node_settings import EntryCapacity
-    from vanillawell.protocol.store import FollowedStore
+    from vanillawell.protocol.store import PolledStore
     from vanillawell.protocol.work_documents import WorkKeys
 
 log = logging.getLogger(__name__)
@@ -71,7 +71,7 @@
 
     def __init__(
         self,
-        store: FollowedStore,
+        store: PolledStore,
         keys: WorkKeys,
         shard: str,
         instance: str,
@@ -174,7 +174,7 @@
             puts=[
                 Put(self._holder_key, self._me.to_bytes(), number),
                 proof,
-                Put(self._bounds_key, bounds.signed(document.token).to_bytes()),
+                Put(self._bounds_key, bounds.adopted_by(document.token).to_bytes()),
             ],
         )
         try:
--- a/vanillawell/coordination/challenger.py
+++ b/vanillawell/coordination/challenger.py
@@ -17,7 +17,7 @@
 
 if TYPE_CHECKING:
     from vanillawell.coordination.holder_watch import HolderWatch
-    from vanillawell.protocol.store import FollowedStore
+    from vanillawell.protocol.store import PolledStore
     from vanillawell.protocol.work_documents import Contender, WorkKeys
 
 log = logging.getLogger(__name__)
@@ -45,7 +45,7 @@
     """Bid for a shard whenever a much weaker entry owns it."""
 
     def __init__(
-        self, store: FollowedStore, keys: WorkKeys, shard: str, me: Contender, watch: HolderWatch
+        self, store: PolledStore, keys: WorkKeys, shard: str, me: Contender, watch: HolderWatch
     ) -> None:
         self._store = store
         self._shard = shard
--- a/vanillawell/coordination/claims.py
+++ b/vanillawell/coordination/claims.py
@@ -22,7 +22,7 @@
 from vanillawell import clock
 from vanillawell.coordination.orphan_claims import OrphanClaims
 from vanillawell.exceptions import StoreError, StoreOutcomeUnknownError
-from vanillawell.protocol.claim_documents import Claim, ClaimState, minted_at
+from vanillawell.protocol.claim_documents import Claim, ClaimState, uuid7_time
 from vanillawell.protocol.refusals import Reason, Refusal
 from vanillawell.protocol.store import Compare, KeyValue, Put, Transaction
 from vanillawell.protocol.verdict import Verdict
@@ -129,7 +129,7 @@
 
         Forgetting a claim while its key is still accepted would run the request again.
         """
-        minted = minted_at(key)
+        minted = uuid7_time(key)
         if minted is None:
             detail = "Idempotency-Key must be a UUID of version 7 (RFC 9562)"
             return Refusal(Reason.MALFORMED, Verdict.NOT_RUN, detail)
--- a/vanillawell/coordination/configuration_editor.py
+++ b/vanillawell/coordination/configuration_editor.py
@@ -98,7 +98,7 @@
 
     async def history(self) -> list[Configuration]:
         """Return all versions that are kept, oldest first."""
-        listing = await self._store.list(self._keys.all_history)
+        listing = await self._store.list(self._keys.history_prefix)
         return [Configuration.from_bytes(item.value) for item in listing.items]
 
     async def version(self, number: int) -> Configuration:
--- a/vanillawell/coordination/dispatch.py
+++ b/vanillawell/coordination/dispatch.py
@@ -127,7 +127,7 @@
         """Send all further requests over new connections, for instance after a new certificate."""
         for pool in self._pools.values():
             for link in pool.links.values():
-                self._tasks.start_soon(link.renew, clock.read())
+                self._tasks.start_soon(link.replace_connections, clock.read())
 
     def _refuse_all(self, pool: PoolRuntime) -> None:
         for item in list(pool.queue):
--- a/vanillawell/coordination/executor_driver.py
+++ b/vanillawell/coordination/executor_driver.py
@@ -11,7 +11,7 @@
 from vanillawell.coordination.executor_link import RETRY_PAUSE
 from vanillawell.coordination.leases import RENEWAL_AFTER_LAPSE
 from vanillawell.coordination.run_orders import RunOrders
-from vanillawell.protocol.calls import NoAnswerError, NotSentError
+from vanillawell.protocol.call_errors import NoAnswerError, NotSentError
 from vanillawell.protocol.executor_calls import OrderRefusedError, WrongIncarnationError
 from vanillawell.state.work import RunPhase
 
--- a/vanillawell/coordination/executor_link.py
+++ b/vanillawell/coordination/executor_link.py
@@ -10,7 +10,7 @@
 
 from vanillawell import clock
 from vanillawell.coordination.leases import LEASE_MARGIN, TASK_LEASE, ExecutorClock
-from vanillawell.protocol.executor_calls import Refused, Target
+from vanillawell.protocol.executor_calls import OrderRefusal, Target
 from vanillawell.state.executors import UNREACHABLE_BLOCK_TIME
 
 if TYPE_CHECKING:
@@ -148,7 +148,7 @@
 
     def refused(self, error: OrderRefusedError) -> None:
         """Take in the refusal of a report; raises DeposedError if another entry owns the shard."""
-        if error.reason is Refused.FENCE:
+        if error.reason is OrderRefusal.STALE_TOKEN:
             raise DeposedError(self.executor.name) from error
         self.block_placement()
         fields = {"executor": self.executor.name, "reason": error.reason.value}
--- a/vanillawell/coordination/holder_watch.py
+++ b/vanillawell/coordination/holder_watch.py
@@ -12,7 +12,7 @@
 from vanillawell.protocol.work_documents import Contender
 
 if TYPE_CHECKING:
-    from vanillawell.protocol.store import Changes, FollowedStore, Listing
+    from vanillawell.protocol.store import Changes, Listing, PolledStore
     from vanillawell.protocol.work_documents import WorkKeys
 
 log = logging.getLogger(__name__)
@@ -27,7 +27,7 @@
 class HolderWatch:
     """Know who owns a shard and who asks for it, as far as the store has told."""
 
-    def __init__(self, store: FollowedStore, keys: WorkKeys, shard: str) -> None:
+    def __init__(self, store: PolledStore, keys: WorkKeys, shard: str) -> None:
         self._shard = shard
         self._holder_key = keys.holder(shard)
         self._bid_key = keys.bid(shard)
--- a/vanillawell/coordination/inbox.py
+++ b/vanillawell/coordination/inbox.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from vanillawell.protocol.store import Changes, FollowedStore, Listing
+    from vanillawell.protocol.store import Changes, Listing, PolledStore
     from vanillawell.protocol.work_documents import WorkKeys
     from vanillawell.state.shard import Shard
 
@@ -33,7 +33,7 @@
     """Follow the inbox of a shard for one term."""
 
     def __init__(
-        self, store: FollowedStore, keys: WorkKeys, shard: Shard, wake: Callable[[], None]
+        self, store: PolledStore, keys: WorkKeys, shard: Shard, wake: Callable[[], None]
     ) -> None:
         self._store = store
         self._keys = keys
@@ -54,7 +54,9 @@
 
     def _take_listing(self, listing: Listing) -> None:
         """Take in all that is in the inbox, jobs before the wish to cancel one of them."""
-        jobs_first = sorted(listing.items, key=lambda item: bool(self._keys.is_cancel(item.key)))
+        jobs_first = sorted(
+            listing.items, key=lambda item: bool(self._keys.cancelled_job_id(item.key))
+        )
         for item in jobs_first:
             self._take(item.key, item.value)
         if not self.is_read:
@@ -89,13 +91,13 @@
         self._wake()
 
     def _take(self, key: str, value: bytes) -> None:
-        cancelled = self._keys.is_cancel(key)
+        cancelled = self._keys.cancelled_job_id(key)
         if cancelled:
             if cancelled in self._shard.job_table.jobs:
                 self._cancel(cancelled)
                 self._note_taken(cancelled, key)
             return
-        job_id = self._keys.is_new_job(key)
+        job_id = self._keys.new_job_id(key)
         if not job_id:
             return
         self._note_taken(job_id, key)
--- a/vanillawell/coordination/job_service.py
+++ b/vanillawell/coordination/job_service.py
@@ -21,7 +21,7 @@
 
 if TYPE_CHECKING:
     from vanillawell.coordination.policy_watch import PolicyWatch
-    from vanillawell.protocol.store import FollowedStore
+    from vanillawell.protocol.store import PolledStore
     from vanillawell.protocol.work_documents import WorkKeys
     from vanillawell.state.work import Job
     from vanillawell.state.work_policy import Queue
@@ -64,7 +64,7 @@
 
     def __init__(
         self,
-        store: FollowedStore,
+        store: PolledStore,
         keys: WorkKeys,
         shard: str,
         policies: PolicyWatch,
@@ -141,7 +141,7 @@
         the store is known to be silent no write is sent, so that the refusal is true.
         """
         data = write_job(job)
-        order = Put(self._keys.order(job.job_id), data)
+        order = Put(self._keys.submitted_job(job.job_id), data)
         news = Put(self._keys.new_job(job.job_id), data)
         create = Transaction(compares=[Compare(order.key, 0)], puts=[order, news])
         if self._doubt.is_doubtful() and not await self._store_answers(order.key):
@@ -201,7 +201,7 @@
                     extra={"job": job_id, "state": state, "revision": record.mod_revision},
                 )
                 return state
-            order = await self._store.get(self._keys.order(job_id))
+            order = await self._store.get(self._keys.submitted_job(job_id))
         except (StoreError, ValueError) as error:
             log.warning("state not read", extra={"job": job_id, "why": str(error)})
             return _refuse(Reason.STORE_DOWN, retry_after=STORE_RETRY_AFTER)
@@ -214,7 +214,7 @@
         with anyio.move_on_after(_budget(time_left)):
             while True:
                 try:
-                    if await self._store.get(self._keys.order(job_id)) is None:
+                    if await self._store.get(self._keys.submitted_job(job_id)) is None:
                         return _refuse(Reason.NO_SUCH_JOB)
                     await self._store.transact(Transaction(puts=[put]))
                 except StoreError as error:
--- a/vanillawell/coordination/link_monitor.py
+++ b/vanillawell/coordination/link_monitor.py
@@ -59,12 +59,12 @@
             self._telemetry.probes.inc({"executor": name, "alive": str(alive).lower()})
             if alive:
                 for neighbour in list(pool.links.values()):
-                    await neighbour.renew(now)
+                    await neighbour.replace_connections(now)
             else:
                 pool.health.record_failure(name, now, len(pool.links), sent=False)
             bound = pool.service_time.overdue_after()
             for item in [item for item in link.attempts if _is_overdue(item, bound, now)]:
-                item.looked_into = True
+                item.probed = True
                 self._hedge(pool, item, name)
             self._pump(pool, now)
         finally:
@@ -72,5 +72,5 @@
 
 
 def _is_overdue(attempt: Attempt, bound: float, now: float) -> bool:
-    waits = not attempt.head_arrived and not attempt.looked_into
+    waits = not attempt.head_arrived and not attempt.probed
     return waits and now - attempt.started > bound
--- a/vanillawell/coordination/loss_detector.py
+++ b/vanillawell/coordination/loss_detector.py
@@ -9,7 +9,7 @@
 import anyio
 
 from vanillawell import clock
-from vanillawell.protocol.calls import NoAnswerError, NotSentError
+from vanillawell.protocol.call_errors import NoAnswerError, NotSentError
 from vanillawell.protocol.machine_calls import MachineState
 from vanillawell.state.lost_executors import find_lost_executors, unresponsive_executors
 from vanillawell.state.upkeep import incarnation_id
--- a/vanillawell/coordination/membership.py
+++ b/vanillawell/coordination/membership.py
@@ -269,7 +269,7 @@
             await anyio.sleep(max(PROOF_INTERVAL, len(self._members) / ENTRIES_PER_SECOND))
             for instance in sorted(self._ends.unproven()):
                 try:
-                    gone = await platform.is_gone(instance)
+                    gone = await platform.is_terminated(instance)
                 except PlatformUnavailableError:
                     break
                 if gone:
@@ -278,7 +278,7 @@
 
     async def _read_list(self) -> None:
         asked = clock.read()
-        listing = await self._store.list(self._keys.all_presence)
+        listing = await self._store.list(self._keys.presence_prefix)
         self._telemetry.store_calls.inc({"task": "members", "result": "ok"})
         found = [Presence.from_bytes(item.value) for item in listing.items]
         self._ends.observe(found, asked)
--- a/vanillawell/coordination/peers.py
+++ b/vanillawell/coordination/peers.py
@@ -21,10 +21,10 @@
 from vanillawell.protocol.peer_messages import (
     Acknowledgement,
     Beat,
+    DemandReport,
     DocumentKind,
     DocumentReply,
     DocumentRequest,
-    SourceReport,
     Versions,
 )
 from vanillawell.state.demand_table import Row
@@ -297,7 +297,7 @@
         if organisations:
             self._heard(organisations)
 
-    def _accept(self, report: SourceReport, sender: Presence, now: float) -> bool:
+    def _accept(self, report: DemandReport, sender: Presence, now: float) -> bool:
         me = self._membership.me
         if report.source in (me.instance, me.zone):
             return False
@@ -314,24 +314,24 @@
             reports=tuple(reports),
         )
 
-    def _reports_for_mates(self, now: float) -> list[SourceReport]:
+    def _reports_for_mates(self, now: float) -> list[DemandReport]:
         """Return this entry's own rows, and what other zones told it directly."""
         rows = tuple(self._own_rows(now))
-        own = SourceReport(self._membership.me.instance, 1, sequence_now(), rows)
+        own = DemandReport(self._membership.me.instance, 1, sequence_now(), rows)
         relayed = [
-            SourceReport(zone, report.entries, report.sequence, tuple(report.rows.values()))
+            DemandReport(zone, report.entries, report.sequence, tuple(report.rows.values()))
             for zone, report in self._board.reports.items()
             if zone in self._direct_zones
         ]
         return [own, *relayed]
 
-    def _zone_sum(self, now: float) -> SourceReport:
+    def _zone_sum(self, now: float) -> DemandReport:
         """Return the sum of this entry and those of its zone that it hears from."""
         me = self._membership.me
         mates = {member.instance for member in self._membership.in_zone(me.zone)}
         heard = [self._board.reports[name] for name in mates if name in self._board.reports]
         rows = itertools.chain(self._own_rows(now), *(item.rows.values() for item in heard))
-        return SourceReport(me.zone, 1 + len(heard), sequence_now(), sum_rows(rows))
+        return DemandReport(me.zone, 1 + len(heard), sequence_now(), sum_rows(rows))
 
     def _count(self, direction: str, size: int) -> None:
         self._telemetry.peer_bytes.add({"direction": direction}, size)
--- a/vanillawell/coordination/planner.py
+++ b/vanillawell/coordination/planner.py
@@ -18,7 +18,7 @@
 from vanillawell import clock
 from vanillawell.coordination.instance_list import InstanceListCache
 from vanillawell.coordination.role import NotHolderError, Role, act_while_held
-from vanillawell.protocol.calls import NoAnswerError, NotSentError
+from vanillawell.protocol.call_errors import NoAnswerError, NotSentError
 from vanillawell.protocol.store import Compare, Put, Transaction
 from vanillawell.state.lending import Lending, LendingPlanner
 from vanillawell.state.limits import Ledger
@@ -244,7 +244,7 @@
 
     async def _holders(self) -> set[str]:
         """Return all who hold units of any organisation's limit, by the store's ledgers of now."""
-        listing = await self._store.list(self._keys.all_ledgers)
+        listing = await self._store.list(self._keys.ledger_prefix)
         ledgers = (Ledger.from_bytes(item.value) for item in listing.items)
         return set(itertools.chain.from_iterable(ledger.holders for ledger in ledgers))
 
--- a/vanillawell/coordination/policy_watch.py
+++ b/vanillawell/coordination/policy_watch.py
@@ -12,7 +12,7 @@
     from collections.abc import Callable
 
     from vanillawell.coordination.ports import PlatformKeys
-    from vanillawell.protocol.store import Changes, FollowedStore, Listing
+    from vanillawell.protocol.store import Changes, Listing, PolledStore
     from vanillawell.state.upkeep import Wave
     from vanillawell.state.work_policy import WorkPolicy
 
@@ -32,7 +32,7 @@
 
     def __init__(
         self,
-        store: FollowedStore,
+        store: PolledStore,
         keys: PlatformKeys,
         read_policy: Callable[[bytes], WorkPolicy],
         read_wave: Callable[[bytes], Wave],
--- a/vanillawell/coordination/pool_rebalancer.py
+++ b/vanillawell/coordination/pool_rebalancer.py
@@ -13,7 +13,7 @@
 from vanillawell import clock
 from vanillawell.coordination.machine_orders import ARRIVAL_BOUND, Purpose
 from vanillawell.coordination.pool_demand import DemandMeter, MachineView
-from vanillawell.protocol.calls import NoAnswerError, NotSentError
+from vanillawell.protocol.call_errors import NoAnswerError, NotSentError
 from vanillawell.protocol.machine_calls import MachineState, UpkeepRefusedError
 from vanillawell.state.pool_sizing import MachineMove, PoolDemand, PoolSizer
 from vanillawell.state.upkeep import LIST_LAG
--- a/vanillawell/coordination/ports.py
+++ b/vanillawell/coordination/ports.py
@@ -10,7 +10,7 @@
 
     from vanillawell.protocol.executor_calls import ExecutorCalls
     from vanillawell.protocol.machine_calls import AdviceCalls, MachineCalls
-    from vanillawell.protocol.store import FollowedStore
+    from vanillawell.protocol.store import PolledStore
     from vanillawell.state.executors import ExecutorFacts
     from vanillawell.state.upkeep import Wave
     from vanillawell.state.work_policy import WorkPolicy
@@ -59,7 +59,7 @@
 class Ports:
     """Everything outside that the scheduler talks to."""
 
-    store: FollowedStore
+    store: PolledStore
     executors: ExecutorCalls
     machines: MachineCalls
     advice: AdviceCalls | None
--- a/vanillawell/coordination/prefix_watch.py
+++ b/vanillawell/coordination/prefix_watch.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from vanillawell.protocol.store import Changes, FollowedStore, Listing
+    from vanillawell.protocol.store import Changes, Listing, PolledStore
 
 log = logging.getLogger(__name__)
 
@@ -55,7 +55,7 @@
 
     def __init__(
         self,
-        store: FollowedStore,
+        store: PolledStore,
         prefix: str,
         wait: float,
         on_listing: Callable[[Listing], None],
--- a/vanillawell/coordination/renewed_lease.py
+++ b/vanillawell/coordination/renewed_lease.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from anyio.abc import TaskGroup
 
-    from vanillawell.protocol.store import FollowedStore
+    from vanillawell.protocol.store import PolledStore
 
 log = logging.getLogger(__name__)
 
@@ -34,7 +34,7 @@
     out after that. One without an answer counts for nothing.
     """
 
-    def __init__(self, store: FollowedStore, number: int, ttl: float, granted: float) -> None:
+    def __init__(self, store: PolledStore, number: int, ttl: float, granted: float) -> None:
         """Take the lease's id, the seconds it lasts, and when its grant was sent."""
         self._store = store
         self._number = number
--- a/vanillawell/coordination/run_orders.py
+++ b/vanillawell/coordination/run_orders.py
@@ -9,10 +9,10 @@
 
 from vanillawell import clock
 from vanillawell.coordination.executor_link import RETRY_PAUSE, DeposedError
-from vanillawell.protocol.calls import NoAnswerError, NotSentError
+from vanillawell.protocol.call_errors import NoAnswerError, NotSentError
 from vanillawell.protocol.executor_calls import (
+    OrderRefusal,
     OrderRefusedError,
-    Refused,
     StartOrder,
     WrongIncarnationError,
 )
@@ -110,7 +110,7 @@
             self._link.note_dead(target, "another executor lives at the address")
             self._never_began(run, "meant for a former life")
         except OrderRefusedError as error:
-            if error.reason is Refused.UNHEALTHY:
+            if error.reason is OrderRefusal.UNHEALTHY:
                 self._link.take_back(extension)
             await self._start_refused(run, error)
         else:
@@ -129,12 +129,12 @@
         log.warning(
             "start refused", extra={**self._link.describe(run), "reason": error.reason.value}
         )
-        if error.reason is Refused.FENCE:
+        if error.reason is OrderRefusal.STALE_TOKEN:
             raise DeposedError(self._link.executor.name) from error
-        if error.reason is Refused.OLD:
+        if error.reason is OrderRefusal.RUN_ENDED:
             await self._settle_uncertain(run, error.reason.value)
             return
-        if error.reason is Refused.TICKET:
+        if error.reason is OrderRefusal.INVALID_TICKET:
             task_id = run.task.task_id
             key = (task_id.job_id, task_id.occurrence, task_id.step)
             self._link.shard.tickets.pop(key, None)
@@ -214,9 +214,9 @@
             self._link.note_dead(target, "another executor lives at the address")
             return False
         except OrderRefusedError as error:
-            if error.reason is Refused.FENCE:
+            if error.reason is OrderRefusal.STALE_TOKEN:
                 raise DeposedError(self._link.executor.name) from error
-            return error.reason is Refused.OLD
+            return error.reason is OrderRefusal.RUN_ENDED
         return True
 
     def pace(self, now: float) -> None:
--- a/vanillawell/coordination/shard_claim.py
+++ b/vanillawell/coordination/shard_claim.py
@@ -12,7 +12,7 @@
 
 if TYPE_CHECKING:
     from vanillawell.coordination.renewed_lease import RenewedLease
-    from vanillawell.protocol.store import FollowedStore, Put, Transaction
+    from vanillawell.protocol.store import PolledStore, Put, Transaction
 
 log = logging.getLogger(__name__)
 
@@ -36,7 +36,7 @@
     """
 
     def __init__(
-        self, store: FollowedStore, lease: RenewedLease, transaction: Transaction, proof: Put
+        self, store: PolledStore, lease: RenewedLease, transaction: Transaction, proof: Put
     ) -> None:
         """Take the write, and the key and value by which one that took effect is known."""
         self._store = store
--- a/vanillawell/coordination/shard_owner.py
+++ b/vanillawell/coordination/shard_owner.py
@@ -208,7 +208,7 @@
         backoff = Backoff()
         while True:
             try:
-                orders = await self._ports.store.list(self._keys.orders_of_callers)
+                orders = await self._ports.store.list(self._keys.submitted_jobs)
                 records = await self._ports.store.list(self._keys.records)
                 break
             except StoreError as error:
@@ -244,7 +244,7 @@
         known = {item.key: item.value for item in records.items}
         recalled = 0
         for item in orders.items:
-            job_id = item.key.removeprefix(self._keys.orders_of_callers)
+            job_id = item.key.removeprefix(self._keys.submitted_jobs)
             data = known.get(self._keys.record(job_id))
             if data is None:
                 continue  # it is still in the inbox, which is read next
--- a/vanillawell/coordination/term.py
+++ b/vanillawell/coordination/term.py
@@ -20,7 +20,7 @@
     from collections.abc import Callable, Sequence
 
     from vanillawell.coordination.renewed_lease import RenewedLease
-    from vanillawell.protocol.store import FollowedStore
+    from vanillawell.protocol.store import PolledStore
 
 log = logging.getLogger(__name__)
 
@@ -40,7 +40,7 @@
 
     def __init__(
         self,
-        store: FollowedStore,
+        store: PolledStore,
         key: str,
         document: TermDocument,
         revision: int,
--- a/vanillawell/coordination/tickets.py
+++ b/vanillawell/coordination/tickets.py
@@ -14,7 +14,7 @@
 
 if TYPE_CHECKING:
     from vanillawell.coordination.pool_runtime import PoolRuntime
-    from vanillawell.protocol.backend_calls import Answer, Attempt, AttemptError, Forward
+    from vanillawell.protocol.backend_calls import Answer, Attempt, AttemptError, ForwardedRequest
     from vanillawell.protocol.refusals import Refusal
     from vanillawell.state.queueing import WaitingRequest
 
@@ -42,7 +42,7 @@
     urgent: bool
     idempotent: bool
     deadline: float
-    forward: Forward
+    forward: ForwardedRequest
 
 
 @dataclass(slots=True, eq=False)
@@ -97,7 +97,7 @@
     def deliver(answer: Answer) -> None:
         delivered.append(answer)
         pool.service_time.add(clock.read() - attempt.started)
-        if answer.rest is not None:
+        if answer.remaining_body is not None:
             ticket.finish(answer)
 
     return deliver
--- a/vanillawell/coordination/upkeep_orders.py
+++ b/vanillawell/coordination/upkeep_orders.py
@@ -10,7 +10,7 @@
 
 from vanillawell import clock
 from vanillawell.coordination.machine_orders import Purpose
-from vanillawell.protocol.calls import NoAnswerError, NotSentError
+from vanillawell.protocol.call_errors import NoAnswerError, NotSentError
 from vanillawell.protocol.machine_calls import UpkeepRefusal, UpkeepRefusedError
 from vanillawell.state.availability import mark_runs_away, may_interrupt_all
 from vanillawell.state.upkeep import UNKNOWN_INCARNATION, incarnation_id
--- a/vanillawell/coordination/upkeep_runner.py
+++ b/vanillawell/coordination/upkeep_runner.py
@@ -12,7 +12,7 @@
 from vanillawell.coordination.upkeep_orders import UpkeepOrders
 from vanillawell.coordination.wave_age import WaveAge
 from vanillawell.exceptions import StoreError
-from vanillawell.protocol.calls import NoAnswerError, NotSentError
+from vanillawell.protocol.call_errors import NoAnswerError, NotSentError
 from vanillawell.protocol.machine_calls import MachineState
 from vanillawell.protocol.store import Put
 from vanillawell.state.availability import has_long_running
--- a/vanillawell/entry.py
+++ b/vanillawell/entry.py
@@ -88,7 +88,7 @@
         self._caller_server = server(self._caller_app, context=identity.caller_context)
         self._admin_server = server(self._admin_app, stop_timeout=1, context=identity.admin_context)
         self._certificates = CertificateWatch(
-            identity.renewable, core.telemetry, core.dispatcher.renew_connections
+            identity.reloadable, core.telemetry, core.dispatcher.renew_connections
         )
 
     def _introduce(self) -> Presence:
--- a/vanillawell/identity.py
+++ b/vanillawell/identity.py
@@ -52,7 +52,7 @@
         return self._admin.context if self._admin else None
 
     @property
-    def renewable(self) -> list[ServerIdentity | ClientTrust]:
+    def reloadable(self) -> list[ServerIdentity | ClientTrust]:
         """Return all that must follow renewed files."""
         found = (self._caller, self._admin, self.backend, self.access.trust)
         return [item for item in found if item]
--- a/vanillawell/platform/executors.py
+++ b/vanillawell/platform/executors.py
@@ -5,13 +5,13 @@
 import re
 from typing import TYPE_CHECKING, Any
 
-from vanillawell.protocol.calls import NoAnswerError
+from vanillawell.protocol.call_errors import NoAnswerError
 from vanillawell.protocol.executor_calls import (
-    EndRow,
     HoldReport,
+    OrderRefusal,
     OrderRefusedError,
-    Refused,
-    RunningRow,
+    ReportedEnd,
+    ReportedRun,
     StartOrder,
     Target,
     WrongIncarnationError,
@@ -31,11 +31,11 @@
 TASK_NAME = re.compile(r"([0-9a-fA-F]{16})\.(\d+)\.(\d+)\.(\d+)")
 
 REASONS = {
-    "fence": Refused.FENCE,
-    "old": Refused.OLD,
-    "late": Refused.LATE,
-    "room": Refused.ROOM,
-    "ticket": Refused.TICKET,
+    "fence": OrderRefusal.STALE_TOKEN,
+    "old": OrderRefusal.RUN_ENDED,
+    "late": OrderRefusal.LEASE_END_PASSED,
+    "room": OrderRefusal.NO_CAPACITY,
+    "ticket": OrderRefusal.INVALID_TICKET,
 }
 
 
@@ -122,11 +122,11 @@
             raise WrongIncarnationError(target.executor)
         if answer.status == 409:
             reason = REASONS.get(answer.document().get("reason"))
-            raise OrderRefusedError(reason or Refused.MALFORMED)
+            raise OrderRefusedError(reason or OrderRefusal.MALFORMED)
         if answer.status in (429, 503):
-            raise OrderRefusedError(Refused.UNHEALTHY)
+            raise OrderRefusedError(OrderRefusal.UNHEALTHY)
         if answer.status == 400:
-            raise OrderRefusedError(Refused.MALFORMED)
+            raise OrderRefusedError(OrderRefusal.MALFORMED)
         raise NoAnswerError(f"{path}: status {answer.status}")
 
 
@@ -137,12 +137,12 @@
         raise NoAnswerError(f"no clock in the answer: {error!r}") from error
 
 
-def _running(row: list[Any]) -> RunningRow:
+def _running(row: list[Any]) -> ReportedRun:
     """Read [task, run, saved, percent, measure]; the measure is missing for plain tasks."""
     measure = float(row[4]) if len(row) > 4 and row[4] is not None else 0.0
-    return RunningRow(read_task_name(row[0]), row[1], row[2] or "", int(row[3]), measure)
+    return ReportedRun(read_task_name(row[0]), row[1], row[2] or "", int(row[3]), measure)
 
 
-def _end(row: list[Any]) -> EndRow:
+def _end(row: list[Any]) -> ReportedEnd:
     """Read [number, task, run, how, saved]."""
-    return EndRow(row[0], read_task_name(row[1]), row[2], Ending(row[3]), row[4] or "")
+    return ReportedEnd(row[0], read_task_name(row[1]), row[2], Ending(row[3]), row[4] or "")
--- a/vanillawell/platform/http.py
+++ b/vanillawell/platform/http.py
@@ -17,7 +17,7 @@
 from anyio.abc import SocketAttribute
 
 from vanillawell import clock
-from vanillawell.protocol.calls import NoAnswerError, NotSentError
+from vanillawell.protocol.call_errors import NoAnswerError, NotSentError
 from vanillawell.transport.sockets import apply_silence_options
 
 if TYPE_CHECKING:
--- a/vanillawell/platform/machines.py
+++ b/vanillawell/platform/machines.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Any
 
-from vanillawell.protocol.calls import NoAnswerError, NotSentError
+from vanillawell.protocol.call_errors import NoAnswerError, NotSentError
 from vanillawell.protocol.machine_calls import (
     AdviceBusyError,
     Machine,
@@ -27,7 +27,7 @@
 """Seconds to wait for advice; calls are answered in turn, so some wait for others."""
 
 REFUSALS = {
-    "fence": UpkeepRefusal.FENCE,
+    "fence": UpkeepRefusal.STALE_TOKEN,
     "busy": UpkeepRefusal.BUSY,
     "wave": UpkeepRefusal.NOT_OF_WAVE,
 }
@@ -86,7 +86,7 @@
         self._http = http
         self._address = address
 
-    async def ask(self, task: TaskId, executors: Sequence[str]) -> dict[str, str]:
+    async def request_tickets(self, task: TaskId, executors: Sequence[str]) -> dict[str, str]:
         """Return a ticket for each of the executors that may run the step of `task`."""
         document = {
             "step": f"{task.job_id}.{task.occurrence}.{task.step}",
--- a/vanillawell/platform/store.py
+++ b/vanillawell/platform/store.py
@@ -12,7 +12,7 @@
     StoreOutcomeUnknownError,
     StoreUnavailableError,
 )
-from vanillawell.protocol.calls import NoAnswerError, NotSentError
+from vanillawell.protocol.call_errors import NoAnswerError, NotSentError
 from vanillawell.protocol.store import (
     Change,
     Changes,
--- a/vanillawell/protocol/backend_calls.py
+++ b/vanillawell/protocol/backend_calls.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Forward:
+class ForwardedRequest:
     """One request as it goes to a backend server."""
 
     method: str
@@ -27,12 +27,12 @@
 
 @dataclass(slots=True)
 class Answer:
-    """One backend answer, whole in `body` or, if large, continued in `rest`."""
+    """One backend answer, whole in `body` or, if large, continued in `remaining_body`."""
 
     status: int
     headers: Headers
     body: bytes
-    rest: MemoryObjectReceiveStream[bytes] | None = None
+    remaining_body: MemoryObjectReceiveStream[bytes] | None = None
     """Further chunks; ends with an error instead of normally if the answer breaks off."""
 
     broken: bool = False
@@ -58,7 +58,7 @@
     """Asked right before the first byte."""
 
     head_arrived: bool = False
-    looked_into: bool = False
+    probed: bool = False
     """A probe has already been made on its account."""
 
 
@@ -73,7 +73,7 @@
     def executor(self) -> Executor:
         """Return the executor at the other end."""
 
-    async def renew(self, now: float) -> None:
+    async def replace_connections(self, now: float) -> None:
         """Send all further requests over new connections; close old ones that are idle."""
 
     async def close_idle(self) -> None:
@@ -86,7 +86,11 @@
         """Ask for any answer on a new connection."""
 
     async def exchange(
-        self, forward: Forward, attempt: Attempt, longest: float, deliver: Callable[[Answer], None]
+        self,
+        forward: ForwardedRequest,
+        attempt: Attempt,
+        longest: float,
+        deliver: Callable[[Answer], None],
     ) -> None:
         """Send a request, hand the answer to `deliver`, and return when it has wholly arrived.
 
--- a/vanillawell/protocol/claim_documents.py
+++ b/vanillawell/protocol/claim_documents.py
@@ -50,7 +50,7 @@
         return cls(state=state, headers=headers, **document)
 
 
-def minted_at(key: str) -> float | None:
+def uuid7_time(key: str) -> float | None:
     """Return the seconds since the epoch in a UUIDv7 (RFC 9562), None for any other text."""
     try:
         parsed = uuid.UUID(key)
--- a/vanillawell/protocol/documents.py
+++ b/vanillawell/protocol/documents.py
@@ -13,7 +13,7 @@
 from vanillawell.config.tree import OperatorTree
 from vanillawell.state.limits import LimitChange
 
-CHANGES_KEPT = 16
+MAX_LIMIT_CHANGES = 16
 """Changes of one organisation's limit that are told apart; older ones are merged into the highest.
 Changes of one organisation's limit that are told apart; older ones are merged into the highest."""
 
@@ -34,7 +34,7 @@
         return f"{self.prefix}/history/{version:012d}"
 
     @property
-    def all_history(self) -> str:
+    def history_prefix(self) -> str:
         """Prefix of all earlier configurations."""
         return f"{self.prefix}/history/"
 
@@ -63,12 +63,12 @@
         return f"{self.prefix}/presence/{instance}"
 
     @property
-    def all_presence(self) -> str:
+    def presence_prefix(self) -> str:
         """Prefix of all entries' presence."""
         return f"{self.prefix}/presence/"
 
     @property
-    def all_ledgers(self) -> str:
+    def ledger_prefix(self) -> str:
         """Prefix of all organisations' limit ledgers."""
         return f"{self.prefix}/ledger/"
 
@@ -156,7 +156,7 @@
 def _extend(old: tuple[LimitChange, ...], change: LimitChange) -> tuple[LimitChange, ...]:
     if old and old[-1].limit == change.limit:
         return old
-    if len(old) < CHANGES_KEPT:
+    if len(old) < MAX_LIMIT_CHANGES:
         return (*old, change)
     merged = LimitChange(old[1].version, max(old[0].limit, old[1].limit))
     return (merged, *old[2:], change)
--- a/vanillawell/protocol/executor_calls.py
+++ b/vanillawell/protocol/executor_calls.py
@@ -35,14 +35,14 @@
     ticket: str
 
 
-class Refused(Enum):
+class OrderRefusal(Enum):
     """Why an executor did nothing on an order."""
 
-    FENCE = "a higher fencing token has been used"
-    OLD = "this run or a later one has already ended there"
-    LATE = "the lease end in the order has passed"
-    ROOM = "no room"
-    TICKET = "the ticket is not valid"
+    STALE_TOKEN = "a higher fencing token has been used"
+    RUN_ENDED = "this run or a later one has already ended there"
+    LEASE_END_PASSED = "the lease end in the order has passed"
+    NO_CAPACITY = "no room"
+    INVALID_TICKET = "the ticket is not valid"
     UNHEALTHY = "the executor is not healthy"
     MALFORMED = "the executor cannot read the order"
 
@@ -50,7 +50,7 @@
 class OrderRefusedError(Exception):
     """The executor answered that it did nothing; `reason` says why."""
 
-    def __init__(self, reason: Refused) -> None:
+    def __init__(self, reason: OrderRefusal) -> None:
         super().__init__(reason.value)
         self.reason = reason
 
@@ -60,7 +60,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RunningRow:
+class ReportedRun:
     """One run that an executor reports as present."""
 
     task_id: TaskId | None
@@ -74,7 +74,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EndRow:
+class ReportedEnd:
     """One run that an executor reports as ended."""
 
     sequence: int
@@ -96,8 +96,8 @@
     incarnation: int
     """Start time of the life that reports, in milliseconds since the epoch."""
 
-    running: Sequence[RunningRow]
-    ended: Sequence[EndRow]
+    running: Sequence[ReportedRun]
+    ended: Sequence[ReportedEnd]
 
 
 class ExecutorCalls(Protocol):
--- a/vanillawell/protocol/lease_bounds.py
+++ b/vanillawell/protocol/lease_bounds.py
@@ -51,7 +51,7 @@
     clocks: Mapping[str, float] = field(default_factory=dict)
     """Seconds that the steady clocks of some executors showed at most, by their lives."""
 
-    def signed(self, token: int) -> LeaseBounds:
+    def adopted_by(self, token: int) -> LeaseBounds:
         """Return what a new owner stores as it takes over."""
         return LeaseBounds(token, self.silent, {}, self.clocks)
 
--- a/vanillawell/protocol/machine_calls.py
+++ b/vanillawell/protocol/machine_calls.py
@@ -46,7 +46,7 @@
 class UpkeepRefusal(Enum):
     """Why an order for a machine was refused."""
 
-    FENCE = "a higher fencing token has been used"
+    STALE_TOKEN = "a higher fencing token has been used"
     BUSY = "the machine is not up"
     NOT_OF_WAVE = "the wave does not name the machine"
     NO_SUCH_MACHINE = "there is no such machine, or not in this pool"
@@ -80,7 +80,7 @@
 class AdviceCalls(Protocol):
     """Questions to the service that knows which executors may run a step."""
 
-    async def ask(self, task: TaskId, executors: Sequence[str]) -> dict[str, str]:
+    async def request_tickets(self, task: TaskId, executors: Sequence[str]) -> dict[str, str]:
         """Return a ticket for each of the executors that may run the step of `task`.
 
         Raises NotSentError, NoAnswerError or AdviceBusyError; asking has no effect.
--- a/vanillawell/protocol/peer_messages.py
+++ b/vanillawell/protocol/peer_messages.py
@@ -15,7 +15,7 @@
 
 SCHEMA = capnp.load(str(Path(__file__).with_name("peer.capnp")))
 
-NEVER_FRESH = 2**63
+NEVER_CONFIRMED_AGE = 2**63
 """Age sent by an entry that has never seen its configuration confirmed."""
 
 
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SourceReport:
+class DemandReport:
     """What one source needs, as it travels."""
 
     source: str
@@ -70,7 +70,7 @@
     fresh_age: float
     """Seconds since the sender's configuration was confirmed as the newest; may be infinite."""
 
-    reports: tuple[SourceReport, ...]
+    reports: tuple[DemandReport, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -171,7 +171,7 @@
         _fill_report(target, report, names)
 
 
-def _fill_report(target: Any, report: SourceReport, names: NameTable) -> None:
+def _fill_report(target: Any, report: DemandReport, names: NameTable) -> None:
     target.source = report.source
     target.entries = report.entries
     target.sequence = report.sequence
@@ -202,7 +202,7 @@
     return Beat(sender, versions, _from_milliseconds(part.freshAgeMilliseconds), reports)
 
 
-def _read_report(report: Any, names: NameTable) -> SourceReport:
+def _read_report(report: Any, names: NameTable) -> DemandReport:
     rows = tuple(
         Row(
             names.pools[row.pool],
@@ -212,12 +212,12 @@
         )
         for row in report.rows
     )
-    return SourceReport(report.source, report.entries, report.sequence, rows)
+    return DemandReport(report.source, report.entries, report.sequence, rows)
 
 
 def _to_milliseconds(seconds: float) -> int:
-    return min(NEVER_FRESH, int(min(seconds, NEVER_FRESH / 1000) * 1000))
+    return min(NEVER_CONFIRMED_AGE, int(min(seconds, NEVER_CONFIRMED_AGE / 1000) * 1000))
 
 
 def _from_milliseconds(milliseconds: int) -> float:
-    return float("inf") if milliseconds >= NEVER_FRESH else milliseconds / 1000
+    return float("inf") if milliseconds >= NEVER_CONFIRMED_AGE else milliseconds / 1000
--- a/vanillawell/protocol/platform_calls.py
+++ b/vanillawell/protocol/platform_calls.py
@@ -31,7 +31,7 @@
     async def instances(self) -> InstanceList:
         """Read the list of instances."""
 
-    async def is_gone(self, instance: str) -> bool:
+    async def is_terminated(self, instance: str) -> bool:
         """Tell whether an instance has ended for good and will never run again."""
 
     async def workers(self) -> list[Worker]:
--- a/vanillawell/protocol/store.py
+++ b/vanillawell/protocol/store.py
@@ -85,7 +85,7 @@
     changes: tuple[Change, ...]
 
 
-class FollowedStore(Protocol):
+class PolledStore(Protocol):
     """Calls to a store whose changes are asked for prefix by prefix.
 
     Each raises StoreUnavailableError if it had no effect for certain, and
--- a/vanillawell/protocol/work_documents.py
+++ b/vanillawell/protocol/work_documents.py
@@ -51,13 +51,13 @@
         return f"{self.inbox}cancel/{job_id}"
 
     @property
-    def orders_of_callers(self) -> str:
+    def submitted_jobs(self) -> str:
         """Return the prefix of all jobs as handed in."""
         return f"{self.prefix}order/"
 
-    def order(self, job_id: str) -> str:
+    def submitted_job(self, job_id: str) -> str:
         """Return the key of a job as handed in."""
-        return self.orders_of_callers + job_id
+        return self.submitted_jobs + job_id
 
     @property
     def records(self) -> str:
@@ -105,12 +105,12 @@
         """Return the key that says how long executors that nobody renews may hold leases."""
         return f"{self.prefix}leases/{shard}"
 
-    def is_new_job(self, key: str) -> str:
+    def new_job_id(self, key: str) -> str:
         """Return the job id if the key tells of a new job, else an empty string."""
         head = f"{self.inbox}job/"
         return key[len(head) :] if key.startswith(head) else ""
 
-    def is_cancel(self, key: str) -> str:
+    def cancelled_job_id(self, key: str) -> str:
         """Return the job id if the key asks for a cancellation, else an empty string."""
         head = f"{self.inbox}cancel/"
         return key[len(head) :] if key.startswith(head) else ""
--- a/vanillawell/standins/measure/slopes.py
+++ b/vanillawell/standins/measure/slopes.py
@@ -12,8 +12,8 @@
 from vanillawell.protocol.documents import Configuration, Presence, next_limit_changes
 from vanillawell.protocol.peer_messages import (
     Beat,
+    DemandReport,
     NameTable,
-    SourceReport,
     Versions,
     decode,
     encode,
@@ -101,7 +101,7 @@
 def beat_of(rows: int) -> bytes:
     """Build one encoded heartbeat."""
     sender = Presence("entry-1-1", "0" * 12, "zone-1", "127.0.0.1", 7000, "127.0.0.1", 7001)
-    report = SourceReport("entry-1-1", 1, 1_700_000_000_000, rows_of(rows))
+    report = DemandReport("entry-1-1", 1, 1_700_000_000_000, rows_of(rows))
     return encode(Beat(sender, Versions(1000, 2000), 0.5, (report,)), NAMES)
 
 
--- a/vanillawell/state/ledger.py
+++ b/vanillawell/state/ledger.py
@@ -27,7 +27,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterator, Mapping
 
-    from vanillawell.protocol.executor_calls import EndRow, HoldReport, RunningRow
+    from vanillawell.protocol.executor_calls import HoldReport, ReportedEnd, ReportedRun
 
 log = logging.getLogger(__name__)
 
@@ -61,10 +61,10 @@
     """What a report changed."""
 
     ended: list[EndedRun] = field(default_factory=list)
-    late_ends: list[EndRow] = field(default_factory=list)
+    late_ends: list[ReportedEnd] = field(default_factory=list)
     """Ends of runs that are not the present run of their task."""
 
-    orphans: list[RunningRow] = field(default_factory=list)
+    orphans: list[ReportedRun] = field(default_factory=list)
     """Runs that nobody wants and that have to be stopped."""
 
     recheck: list[Run] = field(default_factory=list)
@@ -344,7 +344,7 @@
     def _take_end(
         self,
         executor: Executor,
-        end: EndRow,
+        end: ReportedEnd,
         outcome: ReportOutcome,
         now: float,
         find: Callable[[TaskId], Task | None],
@@ -365,7 +365,7 @@
         outcome.ended.append(EndedRun(run, end.ending, end.checkpoint))
 
     @staticmethod
-    def _confirm(run: Run, row: RunningRow, now: float) -> None:
+    def _confirm(run: Run, row: ReportedRun, now: float) -> None:
         if run.phase is not RunPhase.RUNNING:
             run.enter_phase(RunPhase.RUNNING, now)
         if run.started is None:
--- a/vanillawell/state/shard.py
+++ b/vanillawell/state/shard.py
@@ -38,7 +38,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable, Mapping
 
-    from vanillawell.protocol.executor_calls import EndRow, HoldReport
+    from vanillawell.protocol.executor_calls import HoldReport, ReportedEnd
     from vanillawell.state.executors import ExecutorFacts
     from vanillawell.state.ranking import Rank
     from vanillawell.state.work_policy import Queue, WorkPolicy
@@ -207,7 +207,7 @@
         for run in stalled:
             self.request_stop(run)
 
-    def _take_late_end(self, end: EndRow, now: float, wall: float) -> None:
+    def _take_late_end(self, end: ReportedEnd, now: float, wall: float) -> None:
         """Take in the end of a run that had been given up."""
         task = self.job_table.find(end.task_id) if end.task_id else None
         if task is None:
--- a/vanillawell/tests/advice_requester_tests.py
+++ b/vanillawell/tests/advice_requester_tests.py
@@ -35,7 +35,7 @@
     def __init__(self) -> None:
         self.asked: list[tuple[str, list[str]]] = []
 
-    async def ask(self, task: TaskId, executors: Sequence[str]) -> dict[str, str]:
+    async def request_tickets(self, task: TaskId, executors: Sequence[str]) -> dict[str, str]:
         self.asked.append((task.job_id, sorted(executors)))
         return dict.fromkeys(executors, "ticket")
 
--- a/vanillawell/tests/config_tests.py
+++ b/vanillawell/tests/config_tests.py
@@ -16,16 +16,16 @@
 from vanillawell.config.validation import check_tree
 from vanillawell.coordination.membership import HolderLiveness
 from vanillawell.exceptions import SettingsError
-from vanillawell.protocol.documents import CHANGES_KEPT, Configuration, next_limit_changes
+from vanillawell.protocol.documents import MAX_LIMIT_CHANGES, Configuration, next_limit_changes
 from vanillawell.protocol.peer_messages import (
     Acknowledgement,
     Beat,
+    DemandReport,
     DocumentKind,
     DocumentReply,
     DocumentRequest,
     Message,
     NameTable,
-    SourceReport,
     Versions,
     decode,
     encode,
@@ -131,17 +131,17 @@
 
 def test_the_record_of_limit_changes_keeps_the_highest_of_what_it_merges() -> None:
     changes: dict[str, tuple[LimitChange, ...]] = {}
-    for version in range(1, CHANGES_KEPT + 5):
+    for version in range(1, MAX_LIMIT_CHANGES + 5):
         limit = 100 if version == 2 else 10 + version
         nodes = {"fleet": {"kind": "fleet", "settings": {"limit": limit}}}
         changes = next_limit_changes(tree(**nodes), version, changes)
-    assert len(changes["guild"]) == CHANGES_KEPT
+    assert len(changes["guild"]) == MAX_LIMIT_CHANGES
     assert changes["guild"][0].limit == 100
 
 
 def test_peer_messages_survive_the_wire() -> None:
     rows = (Row("pool-check", "guild", 3, 1.25),)
-    beat = Beat(presence("entry-1"), Versions(7, 3), 0.5, (SourceReport("zone-2", 3, 99, rows),))
+    beat = Beat(presence("entry-1"), Versions(7, 3), 0.5, (DemandReport("zone-2", 3, 99, rows),))
     messages: list[Message] = [
         beat,
         Acknowledgement(Versions(7, 3), float("inf")),
@@ -164,7 +164,7 @@
     Rows read by the wrong numbers would count one organisation's demand as another's.
     """
     rows = (Row("pool-check", "guild", 3, 1.25),)
-    beat = Beat(presence("entry-1"), Versions(7, 3), 0.5, (SourceReport("zone-2", 3, 99, rows),))
+    beat = Beat(presence("entry-1"), Versions(7, 3), 0.5, (DemandReport("zone-2", 3, 99, rows),))
     old = NameTable(7, ("pool-check",), ("guild",))
     new = NameTable(8, ("pool-check",), ("bakers", "guild"))
     read = decode(encode(beat, old), new)
--- a/vanillawell/tests/copies_tests.py
+++ b/vanillawell/tests/copies_tests.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from vanillawell.protocol.executor_calls import EndRow, HoldReport, RunningRow
+from vanillawell.protocol.executor_calls import HoldReport, ReportedEnd, ReportedRun
 from vanillawell.protocol.work_documents import read_record, write_record
 from vanillawell.state.copies import COPIED_AFTER
 from vanillawell.state.executors import Executor
@@ -41,15 +41,15 @@
         self.harness.now += seconds
         return self.harness.place()
 
-    def report(self, *rows: RunningRow, ends: tuple[EndRow, ...] = ()) -> None:
+    def report(self, *rows: ReportedRun, ends: tuple[ReportedEnd, ...] = ()) -> None:
         """Let the silent executor answer again."""
         now = self.harness.now
         self.silent.unresponsive_since = None
         report = HoldReport(0.0, 1, list(rows), list(ends))
         self.harness.shard.take_report(self.silent, report, now, now, now)
 
-    def row(self, run: Run) -> RunningRow:
-        return RunningRow(run.task.task_id, run.number, "", 50, 0.0)
+    def row(self, run: Run) -> ReportedRun:
+        return ReportedRun(run.task.task_id, run.number, "", 50, 0.0)
 
 
 def test_a_task_that_may_run_twice_begins_elsewhere() -> None:
@@ -79,7 +79,7 @@
 def test_a_run_that_was_done_behind_the_cut_counts() -> None:
     cut = Cut(speculative=True)
     (copy,) = cut.pass_time(1.0)
-    end = EndRow(1, cut.first.task.task_id, cut.first.number, Ending.DONE, "")
+    end = ReportedEnd(1, cut.first.task.task_id, cut.first.number, Ending.DONE, "")
     cut.report(ends=(end,))
     assert cut.step.record.state is JobState.COMPLETED
     assert cut.harness.shard.outbox.stops == [copy]
--- a/vanillawell/tests/draining_state_tests.py
+++ b/vanillawell/tests/draining_state_tests.py
@@ -9,7 +9,7 @@
 import pytest
 
 from vanillawell.platform.documents import UnreadableDocumentError, read_executor
-from vanillawell.protocol.executor_calls import HoldReport, RunningRow
+from vanillawell.protocol.executor_calls import HoldReport, ReportedRun
 from vanillawell.state.draining import (
     draining_executors,
     runs_to_stop,
@@ -108,7 +108,7 @@
     executor = harness.shard.ledger.executors[run.executor]
     for percent in percents:
         harness.now += 1.0
-        row = RunningRow(run.task.task_id, run.number, "", percent, 0.0)
+        row = ReportedRun(run.task.task_id, run.number, "", percent, 0.0)
         report = HoldReport(0.0, executor.facts.incarnation, [row], [])
         harness.shard.take_report(executor, report, harness.now, harness.now, harness.now)
     return run
--- a/vanillawell/tests/lease_manager_tests.py
+++ b/vanillawell/tests/lease_manager_tests.py
@@ -145,7 +145,7 @@
     executor = busy_executor(harness, "i-1")
     owner.save([executor], harness.now, last=True)
     assert Owner(owner.stored).keeper.may_extend("i-1")
-    after = Owner(owner.stored.signed(3)).keeper.recalled_bound("i-1", harness.now)
+    after = Owner(owner.stored.adopted_by(3)).keeper.recalled_bound("i-1", harness.now)
     assert after.lease_expires_at == harness.now + LONGEST_DOUBT
 
 
@@ -158,7 +158,7 @@
     sound.lease_expires_at = doubtful.lease_expires_at = harness.now + 4
     put = owner.keeper.draft([sound, doubtful], harness.now, True, frozenset({"i-2"}))
     assert put is not None
-    signed = LeaseBounds.from_bytes(put.value).signed(3)
+    signed = LeaseBounds.from_bytes(put.value).adopted_by(3)
     successor = Owner(signed)
     assert successor.keeper.may_extend("i-1")
     assert not successor.keeper.may_extend("i-2")
--- a/vanillawell/tests/ledger_tests.py
+++ b/vanillawell/tests/ledger_tests.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from vanillawell.protocol.executor_calls import EndRow, HoldReport
+from vanillawell.protocol.executor_calls import HoldReport, ReportedEnd
 from vanillawell.state.work import Ending, Resources, RunPhase
 from vanillawell.tests.scheduling_builders import ShardHarness, facts, job, step
 
@@ -83,7 +83,7 @@
     harness.admit(job(step(1)))
     (run,) = harness.place()
     executor = harness.shard.ledger.executors["i-0"]
-    end = EndRow(1, run.task.task_id, 1, Ending.FAILED, "")
+    end = ReportedEnd(1, run.task.task_id, 1, Ending.FAILED, "")
     for _ in range(3):
         harness.shard.take_report(executor, HoldReport(0.0, 1, [], [end]), 101, 101, 0.0)
     assert run.task.failures == 1
--- a/vanillawell/tests/machine_list_tests.py
+++ b/vanillawell/tests/machine_list_tests.py
@@ -9,7 +9,7 @@
 
 from vanillawell.platform.http import HttpClient
 from vanillawell.platform.machines import PlatformMachines
-from vanillawell.protocol.calls import NoAnswerError
+from vanillawell.protocol.call_errors import NoAnswerError
 from vanillawell.protocol.machine_calls import Machine, MachineState
 from vanillawell.tests.scheduler_cluster import listen
 from vanillawell.transport.asgi import read_body, send_json
--- a/vanillawell/tests/narrow_link_tests.py
+++ b/vanillawell/tests/narrow_link_tests.py
@@ -10,7 +10,7 @@
 from anyio.abc import SocketAttribute
 
 from vanillawell.platform.http import HttpClient
-from vanillawell.protocol.calls import NoAnswerError
+from vanillawell.protocol.call_errors import NoAnswerError
 from vanillawell.protocol.work_documents import WorkKeys
 from vanillawell.tests.scheduler_cluster import (
     PREFIX,
--- a/vanillawell/tests/scheduler_cluster.py
+++ b/vanillawell/tests/scheduler_cluster.py
@@ -30,9 +30,9 @@
 
     from vanillawell.protocol.store import (
         Changes,
-        FollowedStore,
         KeyValue,
         Listing,
+        PolledStore,
         Transaction,
         TransactionResult,
     )
@@ -83,7 +83,7 @@
 class InterruptibleStore:
     """Stand between one scheduler and the store, so that just its path can be cut."""
 
-    inner: FollowedStore
+    inner: PolledStore
     cut: bool = False
     listing_time: float = 0.0
     """Seconds that a listing takes to arrive."""
--- a/vanillawell/tests/scheduling_builders.py
+++ b/vanillawell/tests/scheduling_builders.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from vanillawell.protocol.executor_calls import EndRow, HoldReport
+from vanillawell.protocol.executor_calls import HoldReport, ReportedEnd
 from vanillawell.state.executors import Executor, ExecutorFacts
 from vanillawell.state.shard import Shard
 from vanillawell.state.work import Ending, Job, Resources, Run, RunPhase, Step
@@ -117,7 +117,7 @@
     def end(self, run: Run, ending: Ending = Ending.DONE) -> None:
         """Let an executor report the end of a run."""
         executor = self.shard.ledger.executors[run.executor]
-        row = EndRow(executor.seen_end + 1, run.task.task_id, run.number, ending, "")
+        row = ReportedEnd(executor.seen_end + 1, run.task.task_id, run.number, ending, "")
         report = HoldReport(0.0, executor.facts.incarnation, [], [row])
         sent = min(self.now, run.phase_since)
         self.shard.take_report(executor, report, sent, self.now, self.now)
--- a/vanillawell/tests/shard_claim_tests.py
+++ b/vanillawell/tests/shard_claim_tests.py
@@ -23,7 +23,7 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-    from vanillawell.protocol.store import FollowedStore, Transaction, TransactionResult
+    from vanillawell.protocol.store import PolledStore, Transaction, TransactionResult
 
 KEYS = WorkKeys()
 HOLDER = KEYS.holder("all")
@@ -40,7 +40,7 @@
     anyio.run(run)
 
 
-async def _win(store: FollowedStore, name: str = "entry-0") -> Term:
+async def _win(store: PolledStore, name: str = "entry-0") -> Term:
     """Follow the shard as an entry does until it is won."""
     candidate = Candidate(store, KEYS, "all", name)
     async with anyio.create_task_group() as tasks:
@@ -157,7 +157,7 @@
         won: list[Term] = []
 
         async def win() -> None:
-            won.append(await _win(cast("FollowedStore", held)))
+            won.append(await _win(cast("PolledStore", held)))
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(win)
--- a/vanillawell/tests/shard_invariants_tests.py
+++ b/vanillawell/tests/shard_invariants_tests.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from vanillawell.protocol.executor_calls import HoldReport, RunningRow
+from vanillawell.protocol.executor_calls import HoldReport, ReportedRun
 from vanillawell.state.work import NO_RESOURCES, Ending, JobState, Resources, Run, RunPhase, Step
 from vanillawell.state.work_policy import OrganisationLimits
 from vanillawell.tests.scheduling_builders import ShardHarness, facts, job
@@ -124,7 +124,7 @@
         run = data.draw(st.sampled_from(self._runs(RunPhase.UNCERTAIN)))
         executor = self.shard.ledger.executors[run.executor]
         present = [
-            RunningRow(other.task.task_id, other.number, "", 100, 0.0)
+            ReportedRun(other.task.task_id, other.number, "", 100, 0.0)
             for other in executor.runs.values()
             if other is not run
         ]
@@ -192,7 +192,7 @@
             return
         executor.unresponsive_since = None
         running = [
-            RunningRow(run.task.task_id, run.number, "", 100, 0.0)
+            ReportedRun(run.task.task_id, run.number, "", 100, 0.0)
             for run in executor.runs.values()
             if run.phase is RunPhase.RUNNING
         ]
--- a/vanillawell/tests/stalls_tests.py
+++ b/vanillawell/tests/stalls_tests.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from vanillawell.protocol.executor_calls import HoldReport, RunningRow
+from vanillawell.protocol.executor_calls import HoldReport, ReportedRun
 from vanillawell.state.work import Run
 from vanillawell.tests.scheduling_builders import ShardHarness, facts, job, step
 
@@ -11,7 +11,7 @@
     """Let an executor report how far runs have come; returns the runs that are to be stopped."""
     executor = harness.shard.ledger.executors[runs[0].executor]
     rows = [
-        RunningRow(run.task.task_id, run.number, "", percent, 0.0)
+        ReportedRun(run.task.task_id, run.number, "", percent, 0.0)
         for run, percent in zip(runs, percents, strict=True)
     ]
     report = HoldReport(0.0, executor.facts.incarnation, rows, [])
--- a/vanillawell/transport/backend.py
+++ b/vanillawell/transport/backend.py
@@ -13,7 +13,7 @@
 import anyio
 import httpcore
 
-from vanillawell.protocol.backend_calls import Answer, Attempt, AttemptError, Forward
+from vanillawell.protocol.backend_calls import Answer, Attempt, AttemptError, ForwardedRequest
 from vanillawell.state.retries import Failure
 from vanillawell.transport.http_client import SendWatcher, TooLateToSendError, timeouts
 
@@ -72,7 +72,7 @@
     def _new_pool(self) -> httpcore.AsyncConnectionPool:
         return self._dialer.pool(self._connections, KEEPALIVE)
 
-    async def renew(self, now: float) -> None:
+    async def replace_connections(self, now: float) -> None:
         """Send all further requests over new connections; close old ones that are idle."""
         if now - self._renewed_at < RENEW_INTERVAL:
             return
@@ -113,7 +113,11 @@
             return True
 
     async def exchange(
-        self, forward: Forward, attempt: Attempt, longest: float, deliver: Callable[[Answer], None]
+        self,
+        forward: ForwardedRequest,
+        attempt: Attempt,
+        longest: float,
+        deliver: Callable[[Answer], None],
     ) -> None:
         """Send a request, hand the answer to `deliver`, and return when it has wholly arrived.
 
@@ -134,7 +138,7 @@
 
     async def _stream(
         self,
-        forward: Forward,
+        forward: ForwardedRequest,
         attempt: Attempt,
         longest: float,
         deliver: Callable[[Answer], None],
@@ -175,7 +179,7 @@
         self, answer: Answer, chunks: AsyncIterator[bytes], deliver: Callable[[Answer], None]
     ) -> None:
         """Pass on the rest of a large answer; a caller that left does not stop the reading."""
-        send, answer.rest = anyio.create_memory_object_stream[bytes](STREAM_BACKLOG)
+        send, answer.remaining_body = anyio.create_memory_object_stream[bytes](STREAM_BACKLOG)
         deliver(answer)
         try:
             async for chunk in chunks:
--- a/vanillawell/transport/caller.py
+++ b/vanillawell/transport/caller.py
@@ -12,7 +12,7 @@
 from vanillawell import clock
 from vanillawell.coordination.claims import HeldClaim, StoredAnswer
 from vanillawell.coordination.tickets import CheckedRequest, Ticket
-from vanillawell.protocol.backend_calls import Answer, Forward
+from vanillawell.protocol.backend_calls import Answer, ForwardedRequest
 from vanillawell.protocol.claim_documents import fingerprint
 from vanillawell.protocol.refusals import Reason, Refusal
 from vanillawell.protocol.verdict import Verdict
@@ -205,7 +205,7 @@
             urgent=head.urgent(),
             idempotent=head.idempotent,
             deadline=deadline,
-            forward=Forward(head.method, head.target, headers, body),
+            forward=ForwardedRequest(head.method, head.target, headers, body),
         )
 
     async def _run_claimed(
@@ -294,17 +294,17 @@
         headers += self._connection_headers()
         start = {"type": "http.response.start", "status": answer.status, "headers": headers}
         await send(start)
-        if answer.rest is None:
+        if answer.remaining_body is None:
             await send({"type": "http.response.body", "body": answer.body})
             return
         await self._send_rest(send, answer)
 
     async def _send_rest(self, send: Send, answer: Answer) -> None:
         """Pass on a large answer part by part; a cut leaves it visibly incomplete."""
-        assert answer.rest is not None
-        async with answer.rest:
+        assert answer.remaining_body is not None
+        async with answer.remaining_body:
             await _send_part(send, answer.body)
-            async for chunk in answer.rest:
+            async for chunk in answer.remaining_body:
                 await _send_part(send, chunk)
         if answer.broken:
             raise CallerAbortError
--- a/vanillawell/transport/http_client.py
+++ b/vanillawell/transport/http_client.py
@@ -7,7 +7,7 @@
 import httpcore
 import orjson
 
-from vanillawell.protocol.calls import NoAnswerError, NotSentError, UnauthorizedError
+from vanillawell.protocol.call_errors import NoAnswerError, NotSentError, UnauthorizedError
 from vanillawell.transport.sockets import SILENCE_OPTIONS
 
 if TYPE_CHECKING:
--- a/vanillawell/transport/platform.py
+++ b/vanillawell/transport/platform.py
@@ -8,7 +8,7 @@
 
 from typing import TYPE_CHECKING, Any
 
-from vanillawell.protocol.calls import NoAnswerError, NotSentError
+from vanillawell.protocol.call_errors import NoAnswerError, NotSentError
 from vanillawell.protocol.platform_calls import InstanceList, PlatformUnavailableError
 from vanillawell.state.jobs import TaskReport, TaskState, Worker
 from vanillawell.transport.http_client import JsonClient
@@ -39,7 +39,7 @@
         size = sum(len(name) + len(state) + JSON_MARKS for name, state in states.items())
         return InstanceList(live, float(answer["age"]), size)
 
-    async def is_gone(self, instance: str) -> bool:
+    async def is_terminated(self, instance: str) -> bool:
         """Tell whether an instance has ended for good and will never run again."""
         answer = await self._call(f"/platform/instances/{instance}", None)
         return bool(answer["state"] == "gone")
--- a/vanillawell/transport/store_etcd.py
+++ b/vanillawell/transport/store_etcd.py
@@ -19,7 +19,7 @@
     StoreOutcomeUnknownError,
     StoreUnavailableError,
 )
-from vanillawell.protocol.calls import NoAnswerError, NotSentError, UnauthorizedError
+from vanillawell.protocol.call_errors import NoAnswerError, NotSentError, UnauthorizedError
 from vanillawell.protocol.store import KeyValue, Listing, Transaction, TransactionResult
 from vanillawell.transport.http_client import Headers, JsonClient, timeouts
 from vanillawell.transport.tls import ClientTrust
