--- a/vanillawell/tests/config_tests.py
+++ b/vanillawell/tests/config_tests.py
@@ -1,4 +1,4 @@
-"""Check settings, the operators' tree and what is said of mistakes in them."""
+"""Test settings, the operators' tree, error messages and the documents derived from them."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
     return load_model(path, DaemonSettings)
 
 
-def test_settings_with_comments_are_read(tmp_path: Path) -> None:
+def test_settings_file_may_contain_comments(tmp_path: Path) -> None:
     assert load(tmp_path, SETTINGS).store.timeout == 1.5
 
 
@@ -65,16 +65,16 @@
         ('"zone": "zone-1",', "", "zone: Field required"),
     ],
 )
-def test_each_mistake_is_named_with_its_file_and_key(
+def test_settings_error_names_the_file_and_key(
     tmp_path: Path, old: str, new: str, expected: str
 ) -> None:
-    with pytest.raises(SettingsError) as caught:
+    with pytest.raises(SettingsError) as raised:
         load(tmp_path, SETTINGS.replace(old, new, 1))
-    assert expected in str(caught.value)
-    assert "entry.jsonc" in str(caught.value)
+    assert expected in str(raised.value)
+    assert "entry.jsonc" in str(raised.value)
 
 
-def test_the_daemon_ends_with_one_clear_line_and_a_status(tmp_path: Path) -> None:
+def test_daemon_reports_invalid_settings_without_traceback_and_exits_with_2(tmp_path: Path) -> None:
     path = tmp_path / "entry.jsonc"
     path.write_text(SETTINGS.replace('"zone"', '"zoen"'))
     command = [sys.executable, "-m", "vanillawell.daemon", str(path)]
@@ -113,14 +113,14 @@
         ),
     ],
 )
-def test_a_tree_that_cannot_hold_is_refused_with_its_key(
+def test_invalid_tree_is_rejected_with_the_key_and_reason(
     nodes: dict[str, Any], key: str, reason: str
 ) -> None:
     found = {finding.key: finding.reason for finding in check_tree(tree(**nodes)).errors}
     assert reason in found[key]
 
 
-def test_the_nearest_level_that_sets_a_value_wins_and_is_named() -> None:
+def test_effective_value_comes_from_the_nearest_level_that_sets_it() -> None:
     nodes = {
         "banks": {"kind": "group", "parent": "fleet", "settings": {"limit": 30}},
         "bank-a": {"kind": "organisation", "parent": "banks"},
@@ -129,7 +129,7 @@
     assert (found.value, found.level) == (30, "banks")
 
 
-def test_the_record_of_limit_changes_keeps_the_highest_of_what_it_merges() -> None:
+def test_merged_limit_changes_keep_the_highest_limit() -> None:
     changes: dict[str, tuple[LimitChange, ...]] = {}
     for version in range(1, MAX_LIMIT_CHANGES + 5):
         limit = 100 if version == 2 else 10 + version
@@ -139,7 +139,7 @@
     assert changes["guild"][0].limit == 100
 
 
-def test_peer_messages_survive_the_wire() -> None:
+def test_peer_messages_are_unchanged_by_encoding_and_decoding() -> None:
     rows = (Row("pool-check", "guild", 3, 1.25),)
     beat = Beat(presence("entry-1"), Versions(7, 3), 0.5, (DemandReport("zone-2", 3, 99, rows),))
     messages: list[Message] = [
@@ -152,16 +152,16 @@
     assert [decode(encode(message, names), names) for message in messages] == messages
 
 
-def test_a_configuration_of_the_largest_size_fits_a_value_of_the_store() -> None:
+def test_largest_configuration_fits_into_one_store_value() -> None:
     document = slopes.configuration_of(430, 4000).to_bytes()
     assert len(document) < 100_000
     assert len(Configuration.from_bytes(document).tree.of_kind("organisation")) == 430
 
 
-def test_reports_by_another_version_of_the_names_are_left_out() -> None:
-    """Two entries have different configurations for a moment and number organisations differently.
+def test_reports_with_another_name_table_version_are_ignored() -> None:
+    """While a new configuration spreads, two entries may have different indexes of organisations.
 
-    Rows read by the wrong numbers would count one organisation's demand as another's.
+    Rows decoded with the wrong indexes would attribute one organisation's demand to another.
     """
     rows = (Row("pool-check", "guild", 3, 1.25),)
     beat = Beat(presence("entry-1"), Versions(7, 3), 0.5, (DemandReport("zone-2", 3, 99, rows),))
@@ -172,31 +172,32 @@
     assert read.reports == ()
 
 
-def test_the_settings_reference_is_in_step_with_the_classes() -> None:
+def test_settings_reference_matches_the_settings_classes() -> None:
     page = Path(__file__).parents[2] / "docs" / "settings.md"
     assert page.read_text() == render()
 
 
-def test_a_missing_holder_is_over_only_with_proof_or_after_its_term() -> None:
-    """An entry loses the store and goes on with the units it holds.
+def test_missing_holder_counts_as_ended_only_after_its_holding_term() -> None:
+    """An entry cut off from the store continues to use the limit units that it holds.
 
-    If others took its missing presence for its end, an organisation would exceed its limit.
+    If its missing presence alone counted as its end, others would reuse the units, and the
+    organisation would exceed its limit.
     """
-    ends = HolderLiveness(timing(holding_term=100, longest_request=10, clock_drift=0))
+    liveness = HolderLiveness(timing(holding_term=100, longest_request=10, clock_drift=0))
     old = presence("entry-1", "old")
-    ends.observe([old], 0.0)
-    ends.observe([], 5.0)
-    assert ends.ended([old.holder]) == set()
-    ends.observe([], 100.0)
-    assert ends.ended([old.holder]) == set()
-    ends.observe([], 116.0)
-    assert ends.ended([old.holder]) == {old.holder}
+    liveness.observe([old], 0.0)
+    liveness.observe([], 5.0)
+    assert liveness.ended([old.holder]) == set()
+    liveness.observe([], 100.0)
+    assert liveness.ended([old.holder]) == set()
+    liveness.observe([], 116.0)
+    assert liveness.ended([old.holder]) == {old.holder}
 
 
-def test_a_restart_proves_the_end_of_the_run_before() -> None:
-    ends = HolderLiveness(timing(holding_term=100, longest_request=10, clock_drift=0))
+def test_restart_of_an_entry_ends_its_previous_incarnation() -> None:
+    liveness = HolderLiveness(timing(holding_term=100, longest_request=10, clock_drift=0))
     old, new = presence("entry-1", "old"), presence("entry-1", "new")
-    ends.observe([new], 5.0)
-    assert ends.ended([old.holder]) == set()
-    ends.observe([new], 15.0)
-    assert ends.ended([old.holder]) == {old.holder}
+    liveness.observe([new], 5.0)
+    assert liveness.ended([old.holder]) == set()
+    liveness.observe([new], 15.0)
+    assert liveness.ended([old.holder]) == {old.holder}
--- a/vanillawell/tests/layers_tests.py
+++ b/vanillawell/tests/layers_tests.py
@@ -1,4 +1,4 @@
-"""Hold the layers apart: which part of the package may know which."""
+"""Test the layering of the package: which parts may depend on which."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
     "X-Fence-Token X-Duty-Holder X-Expect-Instance X-Key decideMs eachMs validityMs "
     "sameRack durationS holdMaxMs killGraceMs revokeMs status_s op/config op/wave status/wave "
 )
-"""Names of the users' platform that mean nothing outside its adapter."""
+"""Wire names of the users' platform, which only its adapter may use."""
 
-LARGEST_PART = 0.1
-"""Part of the package's lines that the adapter may have."""
+MAX_ADAPTER_SHARE = 0.1
+"""Maximum share of the package's lines in the adapter."""
 
 
 def _sources(*left_out: str) -> list[Path]:
@@ -28,7 +28,7 @@
     ]
 
 
-def test_only_the_adapter_and_its_stand_ins_know_wire_names() -> None:
+def test_only_the_adapter_and_the_stand_ins_use_wire_names() -> None:
     names = "|".join(WIRE_NAMES.split())
     pattern = re.compile(rf"(?<![\w-])({names})(?![\w-])")
     found = [
@@ -40,15 +40,15 @@
     assert found == []
 
 
-def test_the_adapter_stays_small() -> None:
-    everything = sum(len(path.read_text().splitlines()) for path in _sources("tests"))
+def test_adapter_size_is_within_its_share_of_the_package() -> None:
+    total = sum(len(path.read_text().splitlines()) for path in _sources("tests"))
     adapter = sum(
         len(path.read_text().splitlines()) for path in (PACKAGE / "platform").glob("*.py")
     )
-    assert adapter < LARGEST_PART * everything
+    assert adapter < MAX_ADAPTER_SHARE * total
 
 
-def test_decisions_and_coordination_know_no_transport() -> None:
+def test_state_and_coordination_do_not_import_outer_layers() -> None:
     layers = {"state": ("transport", "coordination", "platform"), "coordination": ("transport",)}
     found = [
         f"{path.name}: {line}"
--- a/vanillawell/tests/logs_tests.py
+++ b/vanillawell/tests/logs_tests.py
@@ -1,4 +1,4 @@
-"""Prove that logs are bounded and never hold the process up."""
+"""Test that the volume of logs is bounded and that logging never blocks the process."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
     return logging.LogRecord("x", logging.INFO, "", 0, message, None, None)
 
 
-def test_a_reader_that_stops_reading_holds_nothing_up() -> None:
-    """Whoever collects the logs hangs. Requests must go on, so lines are dropped and counted."""
+def test_stalled_log_reader_does_not_block_the_process() -> None:
+    """When the log collector hangs, lines are dropped and counted so that requests go on."""
     reader, writer = os.pipe()
     handler = Handler(writer)
     handler.setFormatter(JsonFormatter("entry-0"))
-    began = time.monotonic()
+    started = time.monotonic()
     lines = 2 * LONGEST_QUEUE // 1_000
     for _ in range(lines):
         handler.emit(_record("x" * 1_000))
         handler.flush()
-    assert time.monotonic() - began < 5.0
+    assert time.monotonic() - started < 5.0
     assert handler.dropped > 0
     os.close(reader)
     handler.flush()
     os.close(writer)
 
 
-def test_a_kind_beyond_its_budget_is_left_out_and_counted() -> None:
+def test_lines_over_the_budget_of_a_message_are_dropped_and_counted() -> None:
     budget = BudgetFilter(3)
     records = [_record("often") for _ in range(5)]
     for record in records:
@@ -51,15 +51,18 @@
     assert budget.dropped == 2
 
 
-def test_the_starts_of_a_peak_are_all_in_the_log(caplog: pytest.LogCaptureFixture) -> None:
-    """A large pool's owner starts a thousand tasks within a second. With a line for each, those
-    beyond the budget would be missing, and no late job of the peak could be explained."""
+def test_all_task_starts_of_a_peak_are_logged(caplog: pytest.LogCaptureFixture) -> None:
+    """The owner of a large pool starts a thousand tasks within a second.
+
+    With one line for each task, those over the log budget would be missing, and late jobs of the
+    peak could not be explained.
+    """
     wide = job(step(1_000, cpu=1))
     harness = ShardHarness(facts("i-0"))
     harness.admit(wide)
     runs = harness.place()
     with caplog.at_level(logging.INFO):
         cycle_log.log_started_tasks(runs, token=7)
-    told = [row for record in caplog.records for row in record.__dict__["runs"]]
-    assert len(told) == len(runs) == 1_000
+    logged = [row for record in caplog.records for row in record.__dict__["runs"]]
+    assert len(logged) == len(runs) == 1_000
     assert len(caplog.records) < BUDGET / 10
