--- a/vanillawell/protocol/documents.py
+++ b/vanillawell/protocol/documents.py
@@ -101,7 +101,7 @@
     """Recent changes of each organisation's effective limit, oldest first."""
 
     def to_bytes(self) -> bytes:
-        """Serialise and compress the document, without settings that have their default.
+        """Serialise and compress the document, without fields that have their default.
 
         Each change is sent in full to a few watchers in every zone and from there to all entries;
         at 430 organisations and 4,000 instances, compression reduces it to a tenth.
--- a/vanillawell/protocol/peer_messages.py
+++ b/vanillawell/protocol/peer_messages.py
@@ -178,9 +178,11 @@
     target.sequence = report.sequence
     pools = {name: number for number, name in enumerate(names.pools)}
     organisations = {name: number for number, name in enumerate(names.organisations)}
-    known = [row for row in report.rows if row.pool in pools and row.organisation in organisations]
-    rows = target.init("rows", len(known))
-    for wire, row in zip(rows, known, strict=True):
+    encodable = [
+        row for row in report.rows if row.pool in pools and row.organisation in organisations
+    ]
+    rows = target.init("rows", len(encodable))
+    for wire, row in zip(rows, encodable, strict=True):
         wire.pool = pools[row.pool]
         wire.organisation = organisations[row.organisation]
         wire.demand = row.demand
--- a/vanillawell/protocol/platform_calls.py
+++ b/vanillawell/protocol/platform_calls.py
@@ -38,7 +38,7 @@
         """Return the workers from a report that lags behind."""
 
     async def start_task(self, job: Job, cores: float, ttl: float) -> None:
-        """Start a job's current attempt under a lease; a repeated call has no effect."""
+        """Start a job's current attempt under a lease; the same id never starts a second task."""
 
     async def stop_task(self, task_id: str) -> None:
         """Stop a task after it has written a checkpoint."""
--- a/vanillawell/protocol/work_documents.py
+++ b/vanillawell/protocol/work_documents.py
@@ -107,13 +107,13 @@
 
     def new_job_id(self, key: str) -> str:
         """Return the job id if the key announces a new job, else an empty string."""
-        head = f"{self.inbox}job/"
-        return key[len(head) :] if key.startswith(head) else ""
+        key_prefix = f"{self.inbox}job/"
+        return key[len(key_prefix) :] if key.startswith(key_prefix) else ""
 
     def cancelled_job_id(self, key: str) -> str:
         """Return the job id if the key requests a cancellation, else an empty string."""
-        head = f"{self.inbox}cancel/"
-        return key[len(head) :] if key.startswith(head) else ""
+        key_prefix = f"{self.inbox}cancel/"
+        return key[len(key_prefix) :] if key.startswith(key_prefix) else ""
 
 
 @dataclass(frozen=True, slots=True)
