--- a/vanillawell/coordination/membership.py
+++ b/vanillawell/coordination/membership.py
@@ -273,7 +273,7 @@
             )
             for instance in sorted(self._liveness.unconfirmed_instances()):
                 try:
-                    removed = await platform.is_gone(instance)
+                    removed = await platform.is_terminated(instance)
                 except PlatformUnavailableError:
                     break
                 if removed:
@@ -282,7 +282,7 @@
 
     async def _read_list(self) -> None:
         requested_at = clock.read()
-        listing = await self._store.list(self._keys.all_presence)
+        listing = await self._store.list(self._keys.presence_prefix)
         self._telemetry.store_calls.inc({"task": "members", "result": "ok"})
         listed = [Presence.from_bytes(item.value) for item in listing.items]
         self._liveness.observe(listed, requested_at)
--- a/vanillawell/coordination/peers.py
+++ b/vanillawell/coordination/peers.py
@@ -22,10 +22,10 @@
 from vanillawell.protocol.peer_messages import (
     Acknowledgement,
     Beat,
+    DemandReport,
     DocumentKind,
     DocumentReply,
     DocumentRequest,
-    SourceReport,
     Versions,
 )
 from vanillawell.state.demand_table import Row
@@ -301,7 +301,7 @@
         if organisations:
             self._on_demand_reports(organisations)
 
-    def _accept_report(self, report: SourceReport, sender: Presence, now: float) -> bool:
+    def _accept_report(self, report: DemandReport, sender: Presence, now: float) -> bool:
         me = self._membership.me
         if report.source in (me.instance, me.zone):
             return False
@@ -320,18 +320,18 @@
             reports=tuple(reports),
         )
 
-    def _reports_for_zone_peers(self, now: float) -> list[SourceReport]:
+    def _reports_for_zone_peers(self, now: float) -> list[DemandReport]:
         """Return this entry's own rows, and the reports received directly from other zones."""
         rows = tuple(self._own_rows(now))
-        own = SourceReport(self._membership.me.instance, 1, sequence_now(), rows)
+        own = DemandReport(self._membership.me.instance, 1, sequence_now(), rows)
         relayed = [
-            SourceReport(zone, report.entries, report.sequence, tuple(report.rows.values()))
+            DemandReport(zone, report.entries, report.sequence, tuple(report.rows.values()))
             for zone, report in self._demand_table.reports.items()
             if zone in self._direct_zones
         ]
         return [own, *relayed]
 
-    def _zone_sum(self, now: float) -> SourceReport:
+    def _zone_sum(self, now: float) -> DemandReport:
         """Return the total of this entry and of the entries of its zone that report to it."""
         me = self._membership.me
         zone_peers = {member.instance for member in self._membership.in_zone(me.zone)}
@@ -341,7 +341,7 @@
             if name in self._demand_table.reports
         ]
         rows = itertools.chain(self._own_rows(now), *(item.rows.values() for item in reports))
-        return SourceReport(me.zone, 1 + len(reports), sequence_now(), sum_rows(rows))
+        return DemandReport(me.zone, 1 + len(reports), sequence_now(), sum_rows(rows))
 
     def _count(self, direction: str, size: int) -> None:
         self._telemetry.peer_bytes.add({"direction": direction}, size)
--- a/vanillawell/tests/advice_requester_tests.py
+++ b/vanillawell/tests/advice_requester_tests.py
@@ -36,7 +36,7 @@
     def __init__(self) -> None:
         self.requests: list[tuple[str, list[str]]] = []
 
-    async def ask(self, task: TaskId, executors: Sequence[str]) -> dict[str, str]:
+    async def request_tickets(self, task: TaskId, executors: Sequence[str]) -> dict[str, str]:
         self.requests.append((task.job_id, sorted(executors)))
         return dict.fromkeys(executors, "ticket")
 
