--- a/vanillawell/coordination/challenger.py
+++ b/vanillawell/coordination/challenger.py
@@ -18,7 +18,7 @@
 
 if TYPE_CHECKING:
     from vanillawell.coordination.holder_watch import HolderWatch
-    from vanillawell.protocol.store import FollowedStore
+    from vanillawell.protocol.store import PolledStore
     from vanillawell.protocol.work_documents import Contender, WorkKeys
 
 log = logging.getLogger(__name__)
@@ -47,7 +47,7 @@
 
     def __init__(
         self,
-        store: FollowedStore,
+        store: PolledStore,
         keys: WorkKeys,
         shard: str,
         contender: Contender,
--- a/vanillawell/coordination/cycle_log.py
+++ b/vanillawell/coordination/cycle_log.py
@@ -1,4 +1,4 @@
-"""Log what one turn of a shard's owner started and what it took in as done.
+"""Log the tasks that one scheduling cycle started and those it recorded as done.
 
 Peaks start and end hundreds of tasks a second. With a line for each, the bound on lines of a kind
 would leave out just those that explain a late job; so a line holds many tasks, each whole.
@@ -18,19 +18,22 @@
 log = logging.getLogger(__name__)
 
 ROWS_IN_A_LINE = 32
-"""Tasks told in one line, some two kilobytes."""
+"""Tasks in one log line, some two kilobytes."""
 
 
 def log_started_tasks(runs: Sequence[Run], token: int) -> None:
-    """Tell which tasks start where; rows hold the task's id, its run and the executor."""
-    _tell("tasks started", [[*run.task.task_id, run.number, run.executor] for run in runs], token)
+    """Log which tasks start where; each row holds the task's id, its run and the executor."""
+    _log_rows(
+        "tasks started", [[*run.task.task_id, run.number, run.executor] for run in runs], token
+    )
 
 
 def log_done_tasks(tasks: Sequence[CompletedTask], token: int) -> None:
-    """Tell which tasks are done; rows hold the id, run, executor and seconds from its start."""
-    _tell("tasks done", [[*item.task_id, *item[1:]] for item in tasks], token)
+    """Log which tasks are done; each row holds the task's id, its run, the executor and the seconds
+    since its start."""
+    _log_rows("tasks done", [[*item.task_id, *item[1:]] for item in tasks], token)
 
 
-def _tell(message: str, rows: list[list[object]], token: int) -> None:
+def _log_rows(message: str, rows: list[list[object]], token: int) -> None:
     for first in range(0, len(rows), ROWS_IN_A_LINE):
         log.info(message, extra={"runs": rows[first : first + ROWS_IN_A_LINE], "token": token})
--- a/vanillawell/coordination/holder_watch.py
+++ b/vanillawell/coordination/holder_watch.py
@@ -12,7 +12,7 @@
 from vanillawell.protocol.work_documents import Contender
 
 if TYPE_CHECKING:
-    from vanillawell.protocol.store import Changes, FollowedStore, Listing
+    from vanillawell.protocol.store import Changes, Listing, PolledStore
     from vanillawell.protocol.work_documents import WorkKeys
 
 log = logging.getLogger(__name__)
@@ -27,7 +27,7 @@
 class HolderWatch:
     """The holder of a shard and the bid for it, as last read from the store."""
 
-    def __init__(self, store: FollowedStore, keys: WorkKeys, shard: str) -> None:
+    def __init__(self, store: PolledStore, keys: WorkKeys, shard: str) -> None:
         self._shard = shard
         self._holder_key = keys.holder(shard)
         self._bid_key = keys.bid(shard)
--- a/vanillawell/coordination/inbox.py
+++ b/vanillawell/coordination/inbox.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from vanillawell.protocol.store import Changes, FollowedStore, Listing
+    from vanillawell.protocol.store import Changes, Listing, PolledStore
     from vanillawell.protocol.work_documents import WorkKeys
     from vanillawell.state.shard import Shard
 
@@ -34,7 +34,7 @@
     """Watch the inbox of a shard for one term."""
 
     def __init__(
-        self, store: FollowedStore, keys: WorkKeys, shard: Shard, wake: Callable[[], None]
+        self, store: PolledStore, keys: WorkKeys, shard: Shard, wake: Callable[[], None]
     ) -> None:
         self._store = store
         self._keys = keys
@@ -55,7 +55,9 @@
 
     def _apply_listing(self, listing: Listing) -> None:
         """Apply all requests in the inbox, jobs before cancellations."""
-        jobs_first = sorted(listing.items, key=lambda item: bool(self._keys.is_cancel(item.key)))
+        jobs_first = sorted(
+            listing.items, key=lambda item: bool(self._keys.cancelled_job_id(item.key))
+        )
         for item in jobs_first:
             self._apply(item.key, item.value)
         if not self.is_read:
@@ -90,13 +92,13 @@
         self._wake()
 
     def _apply(self, key: str, value: bytes) -> None:
-        cancelled = self._keys.is_cancel(key)
+        cancelled = self._keys.cancelled_job_id(key)
         if cancelled:
             if cancelled in self._shard.job_table.jobs:
                 self._cancel(cancelled)
                 self._record_accepted(cancelled, key)
             return
-        job_id = self._keys.is_new_job(key)
+        job_id = self._keys.new_job_id(key)
         if not job_id:
             return
         self._record_accepted(job_id, key)
--- a/vanillawell/coordination/renewed_lease.py
+++ b/vanillawell/coordination/renewed_lease.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from anyio.abc import TaskGroup
 
-    from vanillawell.protocol.store import FollowedStore
+    from vanillawell.protocol.store import PolledStore
 
 log = logging.getLogger(__name__)
 
@@ -34,7 +34,7 @@
     store carried it out after that. A renewal without an answer does not count.
     """
 
-    def __init__(self, store: FollowedStore, number: int, ttl: float, granted: float) -> None:
+    def __init__(self, store: PolledStore, number: int, ttl: float, granted: float) -> None:
         """Create a lease from its id, its duration in seconds, and when its grant was requested."""
         self._store = store
         self._number = number
--- a/vanillawell/protocol/peer_messages.py
+++ b/vanillawell/protocol/peer_messages.py
@@ -1,4 +1,4 @@
-"""Turn the messages between entries into bytes and back, by Cap'n Proto."""
+"""Encode and decode the messages between entries with Cap'n Proto."""
 
 from __future__ import annotations
 
@@ -15,16 +15,17 @@
 
 SCHEMA = capnp.load(str(Path(__file__).with_name("peer.capnp")))
 
-NEVER_FRESH = 2**63
-"""Age sent by an entry that has never seen its configuration confirmed."""
+NEVER_CONFIRMED_AGE = 2**63
+"""Age in milliseconds sent by an entry whose configuration was never confirmed as newest."""
 
 
 @dataclass(frozen=True, slots=True)
 class NameTable:
-    """Pools and organisations of one configuration, in the order that rows number them by.
+    """Pools and organisations of one configuration; rows refer to them by their index.
 
-    Names would be four fifths of a heartbeat. Both ends number them by the same version of the
-    configuration; while versions differ, reports are left out, and the older ones still count.
+    Written out, names would make up four fifths of a heartbeat. Both ends use the indexes of the
+    same configuration version; while their versions differ, new reports are ignored and the
+    previous ones stay in use.
     """
 
     version: int = 0
@@ -33,7 +34,7 @@
 
 
 class DocumentKind(StrEnum):
-    """The versioned documents that entries pass on to each other."""
+    """Versioned documents that entries send to each other."""
 
     CONFIGURATION = "configuration"
     ASSIGNMENT = "assignment"
@@ -41,19 +42,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Versions:
-    """Versions of all documents in force in one entry."""
+    """Versions of all documents in use by one entry."""
 
     configuration: int
     assignment: int
 
     def of(self, kind: DocumentKind) -> int:
-        """Return the version of one kind."""
+        """Return the version of the document of one kind."""
         return self.configuration if kind is DocumentKind.CONFIGURATION else self.assignment
 
 
 @dataclass(frozen=True, slots=True)
-class SourceReport:
-    """What one source needs, as it travels."""
+class DemandReport:
+    """Demand of one source, which is an entry or a whole zone, as sent to peers."""
 
     source: str
     entries: int
@@ -63,14 +64,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Beat:
-    """Heartbeat of one entry, with its demand and that of the zones it reports for."""
+    """Heartbeat of one entry, with its own demand and that of the zones it reports for."""
 
     sender: Presence
     versions: Versions
     fresh_age: float
     """Seconds since the sender's configuration was confirmed as the newest; may be infinite."""
 
-    reports: tuple[SourceReport, ...]
+    reports: tuple[DemandReport, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DocumentRequest:
-    """Ask for a document because the other end has a newer one than `have`."""
+    """Request for a document of which the peer has a newer version than `have`."""
 
     kind: DocumentKind
     have: int
@@ -91,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DocumentReply:
-    """One version of a document as stored."""
+    """One version of a document, as stored."""
 
     kind: DocumentKind
     version: int
@@ -102,7 +103,7 @@
 
 
 def encode(message: Message, names: NameTable) -> bytes:
-    """Return a message as packed bytes; rows of names that are not in the table are left out."""
+    """Encode a message as packed bytes; rows with names that are not in the table are left out."""
     wire = SCHEMA.Message.new_message()
     match message:
         case Beat():
@@ -125,10 +126,10 @@
 
 
 def decode(data: bytes, names: NameTable) -> Message:
-    """Read a message; a heartbeat by another version of the names has no reports.
+    """Decode a message; the reports of a heartbeat with another name table version are left out.
 
     Raises:
-        PeerProtocolError: The bytes are no message of ours.
+        PeerProtocolError: The bytes are not a valid message.
     """
     try:
         wire = SCHEMA.Message.from_bytes_packed(data)
@@ -171,15 +172,17 @@
         _fill_report(target, report, names)
 
 
-def _fill_report(target: Any, report: SourceReport, names: NameTable) -> None:
+def _fill_report(target: Any, report: DemandReport, names: NameTable) -> None:
     target.source = report.source
     target.entries = report.entries
     target.sequence = report.sequence
     pools = {name: number for number, name in enumerate(names.pools)}
     organisations = {name: number for number, name in enumerate(names.organisations)}
-    known = [row for row in report.rows if row.pool in pools and row.organisation in organisations]
-    rows = target.init("rows", len(known))
-    for wire, row in zip(rows, known, strict=True):
+    encodable = [
+        row for row in report.rows if row.pool in pools and row.organisation in organisations
+    ]
+    rows = target.init("rows", len(encodable))
+    for wire, row in zip(rows, encodable, strict=True):
         wire.pool = pools[row.pool]
         wire.organisation = organisations[row.organisation]
         wire.demand = row.demand
@@ -202,7 +205,7 @@
     return Beat(sender, versions, _from_milliseconds(part.freshAgeMilliseconds), reports)
 
 
-def _read_report(report: Any, names: NameTable) -> SourceReport:
+def _read_report(report: Any, names: NameTable) -> DemandReport:
     rows = tuple(
         Row(
             names.pools[row.pool],
@@ -212,12 +215,12 @@
         )
         for row in report.rows
     )
-    return SourceReport(report.source, report.entries, report.sequence, rows)
+    return DemandReport(report.source, report.entries, report.sequence, rows)
 
 
 def _to_milliseconds(seconds: float) -> int:
-    return min(NEVER_FRESH, int(min(seconds, NEVER_FRESH / 1000) * 1000))
+    return min(NEVER_CONFIRMED_AGE, int(min(seconds, NEVER_CONFIRMED_AGE / 1000) * 1000))
 
 
 def _from_milliseconds(milliseconds: int) -> float:
-    return float("inf") if milliseconds >= NEVER_FRESH else milliseconds / 1000
+    return float("inf") if milliseconds >= NEVER_CONFIRMED_AGE else milliseconds / 1000
--- a/vanillawell/state/ledger.py
+++ b/vanillawell/state/ledger.py
@@ -31,7 +31,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterator, Mapping
 
-    from vanillawell.protocol.executor_calls import EndRow, HoldReport, RunningRow
+    from vanillawell.protocol.executor_calls import HoldReport, ReportedEnd, ReportedRun
 
 log = logging.getLogger(__name__)
 
@@ -65,10 +65,10 @@
     """Changes that follow from an executor's report."""
 
     ended: list[EndedRun] = field(default_factory=list)
-    late_ends: list[EndRow] = field(default_factory=list)
+    late_ends: list[ReportedEnd] = field(default_factory=list)
     """Ends of runs that are no longer charged."""
 
-    orphans: list[RunningRow] = field(default_factory=list)
+    orphans: list[ReportedRun] = field(default_factory=list)
     """Reported runs that are not charged to any task and have to be stopped."""
 
     unconfirmed: list[Run] = field(default_factory=list)
@@ -354,7 +354,7 @@
     def _apply_end(
         self,
         executor: Executor,
-        end: EndRow,
+        end: ReportedEnd,
         outcome: ReportOutcome,
         now: float,
         find: Callable[[TaskId], Task | None],
@@ -375,7 +375,7 @@
         outcome.ended.append(EndedRun(run, end.ending, end.checkpoint))
 
     @staticmethod
-    def _update_run(run: Run, row: RunningRow, now: float) -> None:
+    def _update_run(run: Run, row: ReportedRun, now: float) -> None:
         if run.phase is not RunPhase.RUNNING:
             run.enter_phase(RunPhase.RUNNING, now)
         if run.started is None:
--- a/vanillawell/tests/copies_tests.py
+++ b/vanillawell/tests/copies_tests.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from vanillawell.protocol.executor_calls import EndRow, HoldReport, RunningRow
+from vanillawell.protocol.executor_calls import HoldReport, ReportedEnd, ReportedRun
 from vanillawell.protocol.work_documents import read_record, write_record
 from vanillawell.state.copies import COPY_DELAY
 from vanillawell.state.executors import Executor
@@ -41,15 +41,15 @@
         self.harness.now += seconds
         return self.harness.place()
 
-    def report(self, *rows: RunningRow, ends: tuple[EndRow, ...] = ()) -> None:
+    def report(self, *rows: ReportedRun, ends: tuple[ReportedEnd, ...] = ()) -> None:
         """Let the unresponsive executor answer again."""
         now = self.harness.now
         self.unresponsive.unresponsive_since = None
         report = HoldReport(0.0, 1, list(rows), list(ends))
         self.harness.shard.take_report(self.unresponsive, report, now, now, now)
 
-    def row(self, run: Run) -> RunningRow:
-        return RunningRow(run.task.task_id, run.number, "", 50, 0.0)
+    def row(self, run: Run) -> ReportedRun:
+        return ReportedRun(run.task.task_id, run.number, "", 50, 0.0)
 
 
 def test_speculative_task_is_started_on_another_executor() -> None:
@@ -82,7 +82,7 @@
 def test_run_that_completed_during_the_outage_counts() -> None:
     outage = Outage(speculative=True)
     (copy,) = outage.pass_time(1.0)
-    end = EndRow(1, outage.first.task.task_id, outage.first.number, Ending.DONE, "")
+    end = ReportedEnd(1, outage.first.task.task_id, outage.first.number, Ending.DONE, "")
     outage.report(ends=(end,))
     assert outage.step.record.state is JobState.COMPLETED
     assert outage.harness.shard.outbox.stops == [copy]
--- a/vanillawell/tests/late_refusal_tests.py
+++ b/vanillawell/tests/late_refusal_tests.py
@@ -1,4 +1,5 @@
-"""Prove that an answer about a former life of an executor says nothing of its present one."""
+"""Test that an answer about a previous incarnation of an executor does not affect the current
+one."""
 
 from __future__ import annotations
 
@@ -13,12 +14,12 @@
 from vanillawell.tests.scheduling_builders import ShardHarness, facts, job
 
 
-class MovedMeanwhile:
-    """Take the place of the calls to an executor: it starts again elsewhere during a call, and
-    whoever lives at its former address by then refuses it."""
+class RestartedElsewhere:
+    """Executor calls during which the executor restarts at another address; whatever answers at the
+    previous address refuses the call."""
 
     def __init__(self, harness: ShardHarness) -> None:
-        self._bench = harness
+        self._harness = harness
 
     async def stop(self, *_: Any) -> float:
         return self._refuse()
@@ -27,71 +28,73 @@
         return self._refuse()
 
     def _refuse(self) -> float:
-        self._bench.now += 0.1
-        self._bench.register(facts("i-0", incarnation=2, address="127.0.0.1:2"))
+        self._harness.now += 0.1
+        self._harness.register(facts("i-0", incarnation=2, address="127.0.0.1:2"))
         raise WrongIncarnationError("i-0")
 
 
-def link_to(harness: ShardHarness) -> ExecutorLink:
-    """Return the link to an executor whose first life's clock was read."""
-    nothing = cast("Any", None)
+def make_link(harness: ShardHarness) -> ExecutorLink:
+    """Return the link to an executor whose first incarnation's clock was read."""
+    unused = cast("Any", None)
     link = ExecutorLink(
         harness.shard.ledger.executors["i-0"],
-        cast("Any", MovedMeanwhile(harness)),
+        cast("Any", RestartedElsewhere(harness)),
         harness.shard,
         cast("Any", type("Token", (), {"token": 1})),
-        nothing,
+        unused,
         lambda: None,
         lambda: harness.now,
         6.0,
         0.1,
     )
-    link.enter_life(1)
-    link.answered(1, 10.0, harness.now, harness.now)
+    link.begin_incarnation(1)
+    link.record_answer(1, 10.0, harness.now, harness.now)
     return link
 
 
-def orders_of(harness: ShardHarness) -> RunOrders:
-    """Return what sends orders over such a link."""
-    nothing = cast("Any", None)
-    return RunOrders(link_to(harness), nothing, lambda: None, nothing)
+def make_orders(harness: ShardHarness) -> RunOrders:
+    """Return the order sender of such a link."""
+    unused = cast("Any", None)
+    return RunOrders(make_link(harness), unused, lambda: None, unused)
 
 
-def test_a_refusal_at_a_former_address_does_not_end_a_new_life() -> None:
-    """The order was meant for a life that is over. Taken for the new one, that would get no work
-    for as long as it lives, and what it runs would be started once more."""
+def test_refusal_at_previous_address_does_not_terminate_new_incarnation() -> None:
+    """The order was addressed to a terminated incarnation. If the refusal were applied to the new
+    one, that one would get no tasks for as long as it lives, and its runs would be started a second
+    time."""
     harness = ShardHarness(facts("i-0"))
     harness.admit(job())
     (run,) = harness.place()
     assert run.phase is RunPhase.RUNNING
 
     async def stop() -> None:
-        await orders_of(harness)._stop_once(run.task.task_id, run.number)
+        await make_orders(harness)._stop_once(run.task.task_id, run.number)
 
     anyio.run(stop)
-    present = facts("i-0", incarnation=2, address="127.0.0.1:2")
-    assert not harness.shard.ledger.is_terminated(present)
+    current = facts("i-0", incarnation=2, address="127.0.0.1:2")
+    assert not harness.shard.ledger.is_terminated(current)
 
 
-def test_a_start_refused_for_a_former_life_is_not_charged_to_the_new_one() -> None:
-    """The run began nowhere. Left as ordered on the new life, whose leases are renewed for it, the
-    task would be away for as long as that lives."""
+def test_start_refused_for_previous_incarnation_is_not_charged_to_new_one() -> None:
+    """The run never began. If it stayed charged to the new incarnation, whose leases are renewed
+    for it, the task would not run again for as long as that incarnation lives."""
     harness = ShardHarness(facts("i-0"))
     harness.admit(job())
     harness.shard.place(harness.now, harness.now)
     (run,) = harness.shard.outbox.planned
 
     async def start() -> None:
-        await orders_of(harness)._send_start(run, harness.now)
+        await make_orders(harness)._send_start(run, harness.now)
 
     anyio.run(start)
     assert not harness.shard.ledger.executors["i-0"].runs
     assert run.task.run is None
 
 
-def test_a_late_answer_of_a_former_life_does_not_bring_it_back() -> None:
-    """The new life has reported when an answer of the former one arrives. Taken for the present
-    life, it would let the refusal of the next call end what the new one runs."""
+def test_late_answer_of_previous_incarnation_does_not_restore_it() -> None:
+    """An answer of the previous incarnation arrives after the new one has reported. If it were
+    taken for the current incarnation, the refusal of the next call would end the runs of the new
+    one."""
     harness = ShardHarness(facts("i-0"))
     sent = harness.now - 1.0
     executor = harness.register(facts("i-0", incarnation=2))
@@ -105,8 +108,8 @@
     assert run.task.run is run
 
 
-def test_a_report_on_a_later_call_is_believed_of_the_life() -> None:
-    """An entry that names a life which never was must not make all reports count for nothing."""
+def test_report_on_later_call_corrects_wrong_incarnation_from_registry() -> None:
+    """A registry entry with an incarnation that never existed must not invalidate all reports."""
     harness = ShardHarness(facts("i-0"))
     executor = harness.register(facts("i-0", incarnation=9))
     harness.now += 1.0
--- a/vanillawell/tests/lease_manager_tests.py
+++ b/vanillawell/tests/lease_manager_tests.py
@@ -152,7 +152,7 @@
     executor = busy_executor(harness, "i-1")
     owner.save([executor], harness.now, final=True)
     assert Owner(owner.stored).manager.may_extend("i-1")
-    after = Owner(owner.stored.signed(3)).manager.inherited_bound("i-1", harness.now)
+    after = Owner(owner.stored.adopted_by(3)).manager.inherited_bound("i-1", harness.now)
     assert after.lease_expires_at == harness.now + MAX_INHERITED_LEASE
 
 
@@ -164,7 +164,7 @@
     healthy.lease_expires_at = unanswered.lease_expires_at = harness.now + 4
     put = owner.manager.draft([healthy, unanswered], harness.now, True, frozenset({"i-2"}))
     assert put is not None
-    signed = LeaseBounds.from_bytes(put.value).signed(3)
+    signed = LeaseBounds.from_bytes(put.value).adopted_by(3)
     successor = Owner(signed)
     assert successor.manager.may_extend("i-1")
     assert not successor.manager.may_extend("i-2")
--- a/vanillawell/tests/scheduler_cluster.py
+++ b/vanillawell/tests/scheduler_cluster.py
@@ -30,9 +30,9 @@
 
     from vanillawell.protocol.store import (
         Changes,
-        FollowedStore,
         KeyValue,
         Listing,
+        PolledStore,
         Transaction,
         TransactionResult,
     )
@@ -83,7 +83,7 @@
 class InterruptibleStore:
     """Store wrapper of one scheduler whose path to the store can be cut or slowed down."""
 
-    inner: FollowedStore
+    inner: PolledStore
     cut: bool = False
     listing_time: float = 0.0
     """Seconds by which listings are delayed."""
--- a/vanillawell/tests/shard_claim_tests.py
+++ b/vanillawell/tests/shard_claim_tests.py
@@ -23,7 +23,7 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-    from vanillawell.protocol.store import FollowedStore, Transaction, TransactionResult
+    from vanillawell.protocol.store import PolledStore, Transaction, TransactionResult
 
 KEYS = WorkKeys()
 HOLDER = KEYS.holder("all")
@@ -40,7 +40,7 @@
     anyio.run(run)
 
 
-async def _acquire(store: FollowedStore, name: str = "entry-0") -> Term:
+async def _acquire(store: PolledStore, name: str = "entry-0") -> Term:
     """Acquire the shard as an entry does."""
     candidate = Candidate(store, KEYS, "all", name)
     async with anyio.create_task_group() as tasks:
@@ -160,7 +160,7 @@
         acquired: list[Term] = []
 
         async def acquire() -> None:
-            acquired.append(await _acquire(cast("FollowedStore", held)))
+            acquired.append(await _acquire(cast("PolledStore", held)))
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(acquire)
