--- a/vanillawell/entry.py
+++ b/vanillawell/entry.py
@@ -18,9 +18,9 @@
 from vanillawell.transport.admin import AdminApp
 from vanillawell.transport.asgi import bind, server
 from vanillawell.transport.caller import CallerApp
-from vanillawell.transport.sockets import apply_silence_options
+from vanillawell.transport.sockets import apply_tcp_options
 from vanillawell.transport.store_etcd import EtcdStore
-from vanillawell.transport.tls import CertificateWatch
+from vanillawell.transport.tls import CertificateReloader
 
 if TYPE_CHECKING:
     import socket
@@ -28,7 +28,7 @@
     from anyio.abc import TaskGroup
 
     from vanillawell.config.settings import Address, DaemonSettings
-    from vanillawell.transport.asgi import QuietServer
+    from vanillawell.transport.asgi import EmbeddedServer
 
 log = logging.getLogger(__name__)
 
@@ -50,7 +50,7 @@
 
 def _listen(address: Address, key: str) -> socket.socket:
     listener = bind(address.host, address.port, key)
-    apply_silence_options(listener)
+    apply_tcp_options(listener)
     return listener
 
 
@@ -87,7 +87,7 @@
         )
         self._caller_server = server(self._caller_app, context=identity.caller_context)
         self._admin_server = server(self._admin_app, stop_timeout=1, context=identity.admin_context)
-        self._certificates = CertificateWatch(
+        self._certificates = CertificateReloader(
             identity.renewable, core.telemetry, core.dispatcher.renew_connections
         )
 
@@ -133,7 +133,7 @@
         await self._stop(caller_done)
         self._tasks.cancel_scope.cancel()
 
-    async def _serve(self, running: QuietServer, listener: socket.socket) -> None:
+    async def _serve(self, running: EmbeddedServer, listener: socket.socket) -> None:
         await running.serve(sockets=[listener])
 
     async def _serve_callers(self, done: anyio.Event) -> None:
--- a/vanillawell/entry_core.py
+++ b/vanillawell/entry_core.py
@@ -25,7 +25,7 @@
 from vanillawell.telemetry import Telemetry
 from vanillawell.transport.backend import ExecutorLink
 from vanillawell.transport.dialer import Dialer
-from vanillawell.transport.peer_stream import TcpPeers
+from vanillawell.transport.peer_stream import TcpPeerTransport
 from vanillawell.transport.platform import PlatformClient
 from vanillawell.transport.store_etcd import EtcdStore
 
@@ -93,7 +93,7 @@
             self._board,
             timing,
             self.telemetry,
-            TcpPeers(),
+            TcpPeerTransport(),
             settings.peer.host,
             lambda: self._names,
             self._own_rows,
--- a/vanillawell/platform/http.py
+++ b/vanillawell/platform/http.py
@@ -18,7 +18,7 @@
 
 from vanillawell import clock
 from vanillawell.protocol.calls import NoAnswerError, NotSentError
-from vanillawell.transport.sockets import apply_silence_options
+from vanillawell.transport.sockets import apply_tcp_options
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -84,10 +84,10 @@
 class _Connection:
     """One connection, used for one call at a time."""
 
-    def __init__(self, stream: SocketStream, opened: float) -> None:
+    def __init__(self, stream: SocketStream, opened_at: float) -> None:
         self._stream = stream
-        self.opened = opened
-        self.idle_since = opened
+        self.opened_at = opened_at
+        self.idle_since = opened_at
         self.reusable = False
 
     async def exchange(self, request: bytes, timeout: float) -> HttpAnswer:
@@ -118,7 +118,7 @@
 
     def __init__(self) -> None:
         self._idle: defaultdict[str, list[_Connection]] = defaultdict(list)
-        self.opened = 0
+        self.connections_opened = 0
         """Connections opened so far."""
 
     async def call(
@@ -180,8 +180,8 @@
             raise NotSentError(f"{address}: no connection in {bound:.1f} s") from error
         except OSError as error:
             raise NotSentError(f"{address}: {error}") from error
-        apply_silence_options(stream.extra(SocketAttribute.raw_socket))
-        self.opened += 1
+        apply_tcp_options(stream.extra(SocketAttribute.raw_socket))
+        self.connections_opened += 1
         return stream
 
     async def _give_back(self, address: str, connection: _Connection) -> None:
@@ -198,7 +198,7 @@
         while new ones work. Trying them one by one would cost a timeout each.
         """
         idle = self._idle[address]
-        old = [connection for connection in idle if connection.opened < moment]
+        old = [connection for connection in idle if connection.opened_at < moment]
         self._idle[address] = [connection for connection in idle if connection not in old]
         for connection in old:
             await connection.close()
--- a/vanillawell/platform/process.py
+++ b/vanillawell/platform/process.py
@@ -23,13 +23,13 @@
 from vanillawell.platform.store import PlatformStore
 from vanillawell.transport.asgi import bind, server
 from vanillawell.transport.metrics import MetricsApp
-from vanillawell.transport.sockets import apply_silence_options
+from vanillawell.transport.sockets import apply_tcp_options
 
 if TYPE_CHECKING:
     import socket
 
     from vanillawell.config.settings import Address
-    from vanillawell.transport.asgi import QuietServer
+    from vanillawell.transport.asgi import EmbeddedServer
 
 log = logging.getLogger(__name__)
 
@@ -44,7 +44,7 @@
 class Listening:
     """One server and the socket that it accepts from."""
 
-    server: QuietServer
+    server: EmbeddedServer
     listener: socket.socket
 
     async def serve(self) -> None:
@@ -72,7 +72,7 @@
 def listen(app: Any, address: Address, key: str) -> Listening:
     """Bind an address; `key` names its setting in errors."""
     listener = bind(address.host, address.port, key)
-    apply_silence_options(listener)
+    apply_tcp_options(listener)
     return Listening(server(app, keepalive=KEEPALIVE), listener)
 
 
--- a/vanillawell/platform/store.py
+++ b/vanillawell/platform/store.py
@@ -25,7 +25,7 @@
 if TYPE_CHECKING:
     from vanillawell.platform.http import HttpAnswer, HttpClient
 
-ANSWER_BOUND = 1.5
+STORE_CALL_TIMEOUT = 1.5
 """Seconds to wait for an answer; a slow store takes some 0.4 s, 90 times its usual 4 ms."""
 
 WATCH_BOUND = 0.7
@@ -52,7 +52,7 @@
         method: str,
         path: str,
         document: object = None,
-        bound: float = ANSWER_BOUND,
+        bound: float = STORE_CALL_TIMEOUT,
         fresh: bool = False,
     ) -> HttpAnswer:
         self.calls += 1
@@ -72,7 +72,7 @@
             raise StoreUnavailableError(f"{path}: status {answer.status}: {answer.body[:200]!r}")
         return answer
 
-    async def _read(self, path: str, bound: float = ANSWER_BOUND) -> HttpAnswer:
+    async def _read(self, path: str, bound: float = STORE_CALL_TIMEOUT) -> HttpAnswer:
         """Make a call that changes nothing, so that a lost answer leaves no doubt."""
         try:
             return await self._call("GET", path, bound=bound)
--- a/vanillawell/standins/backend.py
+++ b/vanillawell/standins/backend.py
@@ -20,7 +20,7 @@
 
 from vanillawell.config.settings import ServerTls
 from vanillawell.transport.asgi import (
-    QuietServer,
+    EmbeddedServer,
     Receive,
     Scope,
     Send,
@@ -113,7 +113,7 @@
         self.behaviour = Behaviour()
         self.running = 0
         self.started = 0
-        self.server: QuietServer | None = None
+        self.server: EmbeddedServer | None = None
         self._name = name
         self._slots = slots
         self._connections = connections
@@ -273,7 +273,7 @@
         tasks.start_soon(_serve_one, control_server, bind(host, control, "control"))
 
 
-async def _serve_one(running: QuietServer, listener: Any) -> None:
+async def _serve_one(running: EmbeddedServer, listener: Any) -> None:
     await running.serve(sockets=[listener])
 
 
--- a/vanillawell/tests/renewed_lease_tests.py
+++ b/vanillawell/tests/renewed_lease_tests.py
@@ -11,7 +11,7 @@
 from vanillawell.coordination.renewed_lease import DOUBT, RENEWALS, RENEWALS_AT_ONCE, RenewedLease
 from vanillawell.exceptions import StoreOutcomeUnknownError
 from vanillawell.platform.http import HttpClient
-from vanillawell.platform.store import ANSWER_BOUND, PlatformStore
+from vanillawell.platform.store import STORE_CALL_TIMEOUT, PlatformStore
 from vanillawell.standins.scheduler.store import StandInStore
 from vanillawell.tests.scheduler_cluster import listen
 
@@ -40,8 +40,8 @@
         self.most_under_way = max(self.most_under_way, self.under_way)
         try:
             delay = self.delays.pop(0) if self.delays else 0.0
-            await anyio.sleep(min(delay, ANSWER_BOUND))
-            if delay > ANSWER_BOUND:
+            await anyio.sleep(min(delay, STORE_CALL_TIMEOUT))
+            if delay > STORE_CALL_TIMEOUT:
                 raise StoreOutcomeUnknownError("lost by the test")
             return self.alive
         finally:
@@ -118,7 +118,7 @@
     store = ScriptedStore(delays=[NEVER] * 99)
 
     async def check(_lease: RenewedLease) -> None:
-        await anyio.sleep(TTL / RENEWALS + 2 * ANSWER_BOUND)
+        await anyio.sleep(TTL / RENEWALS + 2 * STORE_CALL_TIMEOUT)
 
     _keep(store, check)
     assert store.most_under_way == RENEWALS_AT_ONCE
@@ -163,12 +163,12 @@
             async with anyio.create_task_group() as readings:
                 for _ in range(3):
                     readings.start_soon(store.get, "key")
-            opened = http.opened
+            connections_opened = http.connections_opened
             stand_in.faults.lose_renewals = 1
             tasks.start_soon(lease.keep)
             await anyio.sleep(TTL / RENEWALS + DOUBT + 0.2)
             assert stand_in.faults.lose_renewals == 0
-            assert http.opened == opened + 1
+            assert http.connections_opened == connections_opened + 1
             assert lease.is_held(granted + TTL + 0.1)
             tasks.cancel_scope.cancel()
 
--- a/vanillawell/transport/asgi.py
+++ b/vanillawell/transport/asgi.py
@@ -29,7 +29,7 @@
     """The caller closed the connection before its request was whole."""
 
 
-class QuietServer(uvicorn.Server):
+class EmbeddedServer(uvicorn.Server):
     """Serve without taking over signals, which the process handles in one place."""
 
     @contextlib.contextmanager
@@ -62,7 +62,7 @@
     keepalive: int = 20,
     stop_timeout: int | None = None,
     context: ssl.SSLContext | None = None,
-) -> QuietServer:
+) -> EmbeddedServer:
     """Build a uvicorn server around an ASGI application; `context` turns TLS on."""
     config = uvicorn.Config(
         app,
@@ -78,7 +78,7 @@
         backlog=LISTEN_BACKLOG,
         ssl_context_factory=(lambda _config, _default: context) if context else None,
     )
-    return QuietServer(config)
+    return EmbeddedServer(config)
 
 
 async def read_body(receive: Receive, bound: int) -> bytes:
--- a/vanillawell/transport/dialer.py
+++ b/vanillawell/transport/dialer.py
@@ -7,7 +7,7 @@
 
 import httpcore
 
-from vanillawell.transport.sockets import SILENCE_OPTIONS
+from vanillawell.transport.sockets import TCP_OPTIONS
 
 if TYPE_CHECKING:
     from vanillawell.transport.tls import ClientTrust
@@ -34,6 +34,6 @@
             ssl_context=self.trust.context if self.trust else None,
             max_connections=connections,
             keepalive_expiry=keepalive,
-            socket_options=SILENCE_OPTIONS,
+            socket_options=TCP_OPTIONS,
             local_address=self.local_host,
         )
--- a/vanillawell/transport/http_client.py
+++ b/vanillawell/transport/http_client.py
@@ -8,7 +8,7 @@
 import orjson
 
 from vanillawell.protocol.calls import NoAnswerError, NotSentError, UnauthorizedError
-from vanillawell.transport.sockets import SILENCE_OPTIONS
+from vanillawell.transport.sockets import TCP_OPTIONS
 
 if TYPE_CHECKING:
     import ssl
@@ -77,7 +77,7 @@
             max_connections=connections,
             keepalive_expiry=keepalive,
             ssl_context=ssl_context,
-            socket_options=SILENCE_OPTIONS,
+            socket_options=TCP_OPTIONS,
             local_address=local_host,
         )
 
--- a/vanillawell/transport/peer_stream.py
+++ b/vanillawell/transport/peer_stream.py
@@ -11,7 +11,7 @@
 
 from vanillawell.exceptions import PeerProtocolError
 from vanillawell.protocol.peer_messages import Message, NameTable, decode, encode
-from vanillawell.transport.sockets import apply_silence_options
+from vanillawell.transport.sockets import apply_tcp_options
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -60,12 +60,12 @@
     with anyio.fail_after(timeout):
         stream = await anyio.connect_tcp(host, port, local_host=local_host)
     raw = stream.extra(anyio.abc.SocketAttribute.raw_socket)
-    apply_silence_options(raw)
+    apply_tcp_options(raw)
     return stream
 
 
 @dataclass(frozen=True, slots=True)
-class TcpPeers:
+class TcpPeerTransport:
     """Reach peers over TCP."""
 
     dial = staticmethod(connect)
--- a/vanillawell/transport/sockets.py
+++ b/vanillawell/transport/sockets.py
@@ -16,7 +16,7 @@
 KEEPALIVE_PROBES = 3
 """Unanswered kernel probes after which a connection is dead."""
 
-SILENCE_OPTIONS = [
+TCP_OPTIONS = [
     (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE),
@@ -27,7 +27,7 @@
 """Options for every connection; a listening socket passes them on to what it accepts."""
 
 
-def apply_silence_options(target: socket.socket) -> None:
+def apply_tcp_options(target: socket.socket) -> None:
     """Set the options on a socket."""
-    for level, option, value in SILENCE_OPTIONS:
+    for level, option, value in TCP_OPTIONS:
         target.setsockopt(level, option, value)
--- a/vanillawell/transport/tls.py
+++ b/vanillawell/transport/tls.py
@@ -106,7 +106,7 @@
         raise SettingsError(f"{key}: cannot use the certificate files: {error}") from error
 
 
-class CertificateWatch:
+class CertificateReloader:
     """Reload certificates when their files change, without a restart."""
 
     def __init__(
