--- a/vanillawell/platform/__init__.py
+++ b/vanillawell/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Speak the users' platform's names and formats; nothing here decides anything."""
+"""Adapt the scheduler to the users' platform: its services, names and document formats."""
--- a/vanillawell/platform/__main__.py
+++ b/vanillawell/platform/__main__.py
@@ -8,7 +8,8 @@
 def main() -> None:
     """Run until a planned stop.
 
-    All else is loaded only once a change of the settings can't end the process any more.
+    SIGHUP announces changed settings, and its default action ends the process. It is therefore
+    ignored before the other modules are imported, which takes some tenths of a second.
     """
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     from vanillawell.platform import process
--- a/vanillawell/platform/callers.py
+++ b/vanillawell/platform/callers.py
@@ -1,4 +1,4 @@
-"""Answer callers over HTTP in the platform's words."""
+"""Serve callers over HTTP in the platform's format."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class CallerApp:
-    """The ASGI application that callers' requests reach."""
+    """ASGI application that answers callers' requests about jobs."""
 
     def __init__(self, job_service: JobService, telemetry: WorkTelemetry) -> None:
         self._job_service = job_service
@@ -43,20 +43,20 @@
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Answer one request."""
-        began = clock.read()
+        started_at = clock.read()
         headers = dict(scope["headers"])
         host = headers.get(b"host", b"").decode("latin-1").partition(":")[0].lower()
         path = scope["path"]
         key = headers.get(b"x-key", b"").decode("latin-1").strip()
-        access = self._job_service.admit(host, path, key_digest(key) if key else None, began)
+        access = self._job_service.admit(host, path, key_digest(key) if key else None, started_at)
         try:
             if isinstance(access, Refusal):
                 answer: Refusal | dict[str, object] = access
             else:
-                answer = await self._answer(scope, receive, access, path, _time(headers))
+                answer = await self._answer(scope, receive, access, path, _caller_timeout(headers))
         except CallerGoneError:
             return
-        await self._send(send, scope["method"], path, answer, began)
+        await self._send(send, scope["method"], path, answer, started_at)
 
     async def _answer(
         self, scope: Scope, receive: Receive, access: Access, path: str, time_left: float
@@ -64,9 +64,9 @@
         name = path[len(access.queue.prefix) :]
         method = scope["method"]
         if not name:
-            return await self._count(method, access)
+            return await self._count_pending(method, access)
         if not JOB_ID.fullmatch(name):
-            return _refuse(Reason.NO_SUCH_QUEUE)
+            return _refusal(Reason.NO_SUCH_QUEUE)
         if method == "POST":
             return await self._submit(receive, access, name, time_left)
         if method == "GET":
@@ -74,11 +74,11 @@
             return {"state": state.value} if isinstance(state, JobState) else state
         if method == "DELETE":
             return await self._job_service.cancel(name, time_left) or {}
-        return _refuse(Reason.MALFORMED)
+        return _refusal(Reason.MALFORMED)
 
-    async def _count(self, method: str, access: Access) -> Refusal | dict[str, object]:
+    async def _count_pending(self, method: str, access: Access) -> Refusal | dict[str, object]:
         if method != "GET":
-            return _refuse(Reason.MALFORMED)
+            return _refusal(Reason.MALFORMED)
         count = await self._job_service.pending(access.queue)
         return count if isinstance(count, Refusal) else {"pending": count}
 
@@ -89,7 +89,7 @@
             body = await read_body(receive, self._job_service.body_bound())
             job = read_job_body(body, job_id, access.queue.name, access.organisation, time.time())
         except BodyTooLargeError:
-            return _refuse(Reason.TOO_LARGE)
+            return _refusal(Reason.TOO_LARGE)
         except UnreadableDocumentError as error:
             return Refusal(Reason.MALFORMED, Verdict.NOT_RUN, str(error))
         return await self._job_service.submit(job, time_left) or {}
@@ -100,11 +100,11 @@
         method: str,
         path: str,
         answer: Refusal | dict[str, object],
-        began: float,
+        started_at: float,
     ) -> None:
         status = answer.reason.status if isinstance(answer, Refusal) else 200
         self._telemetry.calls.inc({"operation": method, "status": str(status)})
-        self._telemetry.latency.observe({"operation": method}, clock.read() - began)
+        self._telemetry.latency.observe({"operation": method}, clock.read() - started_at)
         if isinstance(answer, Refusal):
             log.info(
                 "call refused",
@@ -113,7 +113,7 @@
                     "operation": method,
                     "reason": answer.reason.slug,
                     "retry_after": answer.retry_after,
-                    **self._job_service.basis(began),
+                    **self._job_service.basis(started_at),
                 },
             )
             await send_bytes(send, status, answer.body(), answer.headers())
@@ -122,25 +122,25 @@
 
 
 class ReadyApp:
-    """Tell the balancer whether to send callers here."""
+    """ASGI application for the load balancer's readiness checks."""
 
     def __init__(self, job_service: JobService) -> None:
         self._job_service = job_service
         self.stopping = False
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer 200 or 503."""
+        """Answer 200 if callers should be sent here, otherwise 503."""
         ready = not self.stopping and self._job_service.is_ready(clock.read())
         await send_bytes(send, 200 if ready else 503, orjson.dumps({"ready": ready}))
 
 
-def _time(headers: dict[bytes, bytes]) -> float:
-    """Return the seconds that a caller waits for its answer."""
+def _caller_timeout(headers: dict[bytes, bytes]) -> float:
+    """Return the seconds for which the caller waits, from its `X-Deadline-Ms` header."""
     try:
         return float(headers[b"x-deadline-ms"]) / 1000
     except (KeyError, ValueError):
         return DEFAULT_CALL_TIMEOUT
 
 
-def _refuse(reason: Reason) -> Refusal:
+def _refusal(reason: Reason) -> Refusal:
     return Refusal(reason, Verdict.NOT_RUN)
--- a/vanillawell/platform/documents.py
+++ b/vanillawell/platform/documents.py
@@ -1,7 +1,7 @@
-"""Decode the platform's documents into the product's own types, once, at the border.
+"""Decode the platform's documents into the scheduler's own types, and encode its answers.
 
-Everything is validated here. An entry that cannot be read is reported by the caller of these
-functions and names nothing to use.
+All documents are validated here. For one that cannot be read, the functions raise
+UnreadableDocumentError; their caller reports it and uses nothing from the document.
 """
 
 from __future__ import annotations
@@ -42,18 +42,18 @@
 
 
 class UnreadableDocumentError(ValueError):
-    """A document is not what its place promises; the text says why."""
+    """A document does not have the expected format; the text says why."""
 
 
-class _Wire(BaseModel):
-    """Ignore fields that are not known, since new ones may come at any time."""
+class _PlatformDocument(BaseModel):
+    """Base of all documents; ignores unknown fields, since the platform may add fields."""
 
     model_config = ConfigDict(extra="ignore", strict=False)
 
 
-class _Amounts(_Wire):
+class _Resources(_PlatformDocument):
     cpu: Count = 0
-    """Thousandths of a core."""
+    """Millicores."""
     memMb: Count = 0  # noqa: N815
     gpu: Count = 0
 
@@ -61,13 +61,13 @@
         return Resources(self.cpu, self.memMb, self.gpu)
 
 
-class _Hint(_Wire):
+class _Hint(_PlatformDocument):
     decideMs: Milliseconds  # noqa: N815
     eachMs: Milliseconds  # noqa: N815
     validityMs: Milliseconds  # noqa: N815
 
 
-class _Route(_Wire):
+class _Route(_PlatformDocument):
     """A queue; the platform calls it a route."""
 
     name: str
@@ -82,26 +82,26 @@
     hint: _Hint | None = None
 
 
-class _Service(_Wire):
+class _Service(_PlatformDocument):
     name: str
     rejectsOverload: bool = False  # noqa: N815
     standby: bool = False
 
 
-class _Tenant(_Wire):
-    """An organisation; `weight` is its share when all is full."""
+class _Tenant(_PlatformDocument):
+    """An organisation, the platform's tenant; `weight` is its share when capacity is short."""
 
     name: str
     apiKeys: list[str] = []  # noqa: N815
     weight: float = 1.0
-    maximum: _Amounts = _Amounts()
+    maximum: _Resources = _Resources()
 
 
-class _Limits(_Wire):
+class _Limits(_PlatformDocument):
     maxBodyBytes: Count = 262_144  # noqa: N815
 
 
-class _Config(_Wire):
+class _Config(_PlatformDocument):
     version: int
     routes: list[_Route] = []
     services: list[_Service] = []
@@ -109,8 +109,8 @@
     limits: _Limits = _Limits()
 
 
-class _Beat(_Wire):
-    """What an executor writes into the registry."""
+class _Beat(_PlatformDocument):
+    """An executor's own entry in the registry."""
 
     service: str
     address: str
@@ -118,21 +118,21 @@
     state: str
     machine: str = ""
     remainingMs: Milliseconds | None = None  # noqa: N815
-    """Least time left to an executor that drains."""
+    """Minimum time left to a draining executor."""
     born: int = 0
-    capacity: _Amounts
+    capacity: _Resources
     labels: list[str] = []
-    """The executor's kind, then its rack."""
+    """Kind of the executor, then its rack."""
 
 
-class _Wave(_Wire):
+class _Wave(_PlatformDocument):
     wave: int
     machines: list[str]
     durationS: float  # noqa: N815
     maximum: Count = 1
 
 
-class _Step(_Wire):
+class _Step(_PlatformDocument):
     count: Annotated[int, Field(ge=1, le=100_000)]
     cpu: Count = 0
     memMb: Count = 0  # noqa: N815
@@ -144,7 +144,7 @@
     sameRack: bool = False  # noqa: N815
     requiredLabel: str = ""  # noqa: N815
     affinity: str = ""
-    """The rack where the data lies."""
+    """Rack that holds the data of the step."""
     maxPerServer: Count = 0  # noqa: N815
     speculative: bool = False
     longRunning: bool = False  # noqa: N815
@@ -174,9 +174,9 @@
         )
 
 
-class _JobBody(_Wire):
+class _JobBody(_PlatformDocument):
     spec: Annotated[str, Field(max_length=4_000)] = ""
-    """Text for the tasks; it specifies nothing that matters here."""
+    """Payload that is passed to the tasks; the scheduler does not interpret it."""
     steps: Annotated[list[_Step], Field(min_length=1, max_length=1_000)]
     times: Count = 0
     startTimeMs: float = 0  # noqa: N815
@@ -192,12 +192,12 @@
 
 
 def key_digest(key: str) -> str:
-    """Return the digest by which a key is known; keys themselves are not kept."""
+    """Return the digest that identifies an API key; keys themselves are not stored."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
 def read_config(data: bytes) -> WorkPolicy:
-    """Read the operators' configuration."""
+    """Decode the operators' configuration."""
     config = _load(_Config, data)
     queues = (
         Queue(
@@ -237,43 +237,43 @@
 
 
 def read_executor(key: str, data: bytes) -> ExecutorFacts:
-    """Read an executor's entry in the registry."""
-    beat = _load(_Beat, data)
-    if beat.state not in ("ready", "draining"):
-        raise UnreadableDocumentError(f"state {beat.state!r} is not known")
-    host, _, port = beat.address.rpartition(":")
+    """Decode an executor's entry in the registry."""
+    registration = _load(_Beat, data)
+    if registration.state not in ("ready", "draining"):
+        raise UnreadableDocumentError(f"state {registration.state!r} is not known")
+    host, _, port = registration.address.rpartition(":")
     if not host or not port.isdigit():
-        raise UnreadableDocumentError(f"address {beat.address!r} is none")
+        raise UnreadableDocumentError(f"address {registration.address!r} is none")
     return ExecutorFacts(
         executor=key.removeprefix(KEYS.executors),
-        incarnation=beat.born,
-        service=beat.service,
-        address=beat.address,
-        zone=beat.zone,
-        rack=beat.labels[1] if len(beat.labels) > 1 else "",
-        machine=beat.machine,
-        labels=frozenset(beat.labels),
-        capacity=beat.capacity.decode(),
-        draining=beat.state == "draining",
-        remaining=None if beat.remainingMs is None else beat.remainingMs / 1000,
+        incarnation=registration.born,
+        service=registration.service,
+        address=registration.address,
+        zone=registration.zone,
+        rack=registration.labels[1] if len(registration.labels) > 1 else "",
+        machine=registration.machine,
+        labels=frozenset(registration.labels),
+        capacity=registration.capacity.decode(),
+        draining=registration.state == "draining",
+        remaining=None if registration.remainingMs is None else registration.remainingMs / 1000,
     )
 
 
 def read_wave(data: bytes) -> Wave:
-    """Read a request for the upkeep of machines."""
+    """Decode a wave, the operators' request for the upkeep of machines."""
     wave = _load(_Wave, data)
     return Wave(wave.wave, tuple(wave.machines), wave.durationS, max(1, wave.maximum))
 
 
 def write_wave_state(number: int, completed: bool) -> bytes:
-    """Write how far a wave has come, for operators."""
+    """Encode the state of a wave, for operators."""
     return orjson.dumps({"wave": number, "state": "completed" if completed else "running"})
 
 
 def read_job_body(
     data: bytes, job_id: str, queue: str, organisation: str, accepted_at: float
 ) -> Job:
-    """Read a job that a caller hands in."""
+    """Decode a job that a caller submits."""
     body = _load(_JobBody, data)
     for position, step in enumerate(body.steps):
         if any(earlier >= position for earlier in step.after):
--- a/vanillawell/platform/executors.py
+++ b/vanillawell/platform/executors.py
@@ -1,4 +1,4 @@
-"""Call executors: start, stop, hold and pace runs."""
+"""Call executors over HTTP: start, stop and pace runs, renew their leases, read reports."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 if TYPE_CHECKING:
     from vanillawell.platform.http import HttpClient
 
-ORDER_BOUND = 0.5
-"""Seconds to wait for the answer to an order; a sound executor takes some milliseconds, and the
-task waits for as long before it can be started elsewhere."""
+ORDER_TIMEOUT = 0.5
+"""Seconds to wait for the answer to an order. A healthy executor answers within milliseconds; an
+order without an answer delays the start of the task elsewhere by this time."""
 
-HOLD_BOUND = 0.5
-"""Seconds to wait for a report beyond the time for which the executor was asked to wait."""
+HOLD_TIMEOUT_MARGIN = 0.5
+"""Seconds to wait for a report beyond the wait that was requested of the executor."""
 
 TASK_NAME = re.compile(r"([0-9a-fA-F]{16})\.(\d+)\.(\d+)\.(\d+)")
 
-REASONS = {
+REFUSAL_REASONS = {
     "fence": Refused.FENCE,
     "old": Refused.OLD,
     "late": Refused.LATE,
@@ -40,12 +40,12 @@
 
 
 def task_name(task_id: TaskId) -> str:
-    """Write a task's name."""
+    """Return the name by which the platform knows a task."""
     return f"{task_id.job_id}.{task_id.occurrence}.{task_id.step}.{task_id.task}"
 
 
 def read_task_name(name: str) -> TaskId | None:
-    """Read a task's name; None if it is none of ours."""
+    """Parse a task's name; return None if it does not have the format of `task_name`."""
     match = TASK_NAME.fullmatch(name)
     if match is None:
         return None
@@ -53,13 +53,13 @@
 
 
 class PlatformExecutors:
-    """Speak to all executors."""
+    """Client of all executors."""
 
     def __init__(self, http: HttpClient) -> None:
         self._http = http
 
     async def start(self, target: Target, order: StartOrder, fence: int) -> float:
-        """Start a run; returns the executor's clock."""
+        """Start a run and return the executor's clock."""
         document: dict[str, Any] = {
             "task": task_name(order.task_id),
             "run": order.run,
@@ -74,27 +74,27 @@
         return _clock(await self._order(target, "/run-start", document))
 
     async def stop(self, target: Target, task_id: TaskId, run: int, fence: int) -> float:
-        """Stop a run, or see to it that it never begins; returns the executor's clock."""
+        """Stop a run, or prevent its start if it is yet to begin; return the executor's clock."""
         document = {"task": task_name(task_id), "run": run, "fence": fence}
         return _clock(await self._order(target, "/run-stop", document))
 
     async def pace(
         self, target: Target, task_id: TaskId, run: int, percent: int, fence: int
     ) -> float:
-        """Let a run work at a percentage of its full pace; returns the executor's clock."""
+        """Limit a run to a percentage of its full pace and return the executor's clock."""
         document = {"task": task_name(task_id), "run": run, "percent": percent, "fence": fence}
         return _clock(await self._order(target, "/pace", document))
 
     async def hold(
         self, target: Target, fence: int, saved_end: int, lease_end: float | None, wait: float
     ) -> HoldReport:
-        """Renew leases, confirm stored ends and report."""
+        """Renew leases, confirm stored ends of runs, and return the executor's report."""
         document: dict[str, Any] = {"fence": fence, "lastSeen": saved_end}
         if lease_end is not None:
             document["deadlineMs"] = int(lease_end * 1000)
         if wait:
             document["waitMs"] = round(wait * 1000)
-        content = await self._order(target, "/hold", document, HOLD_BOUND + wait)
+        content = await self._order(target, "/hold", document, HOLD_TIMEOUT_MARGIN + wait)
         try:
             return HoldReport(
                 _clock(content),
@@ -106,14 +106,14 @@
             raise NoAnswerError(f"/hold: malformed report: {error!r}") from error
 
     async def _order(
-        self, target: Target, path: str, document: dict[str, Any], bound: float = ORDER_BOUND
+        self, target: Target, path: str, document: dict[str, Any], timeout: float = ORDER_TIMEOUT
     ) -> Any:
         answer = await self._http.call(
             target.address,
             "POST",
             path,
             document,
-            bound,
+            timeout,
             {"X-Expect-Instance": target.executor},
         )
         if answer.status == 200:
@@ -121,7 +121,7 @@
         if answer.status == 421:
             raise WrongIncarnationError(target.executor)
         if answer.status == 409:
-            reason = REASONS.get(answer.document().get("reason"))
+            reason = REFUSAL_REASONS.get(answer.document().get("reason"))
             raise OrderRefusedError(reason or Refused.MALFORMED)
         if answer.status in (429, 503):
             raise OrderRefusedError(Refused.UNHEALTHY)
@@ -138,11 +138,11 @@
 
 
 def _running(row: list[Any]) -> RunningRow:
-    """Read [task, run, saved, percent, measure]; the measure is missing for plain tasks."""
+    """Decode [task, run, checkpoint, percent, measure]; plain tasks report no measure."""
     measure = float(row[4]) if len(row) > 4 and row[4] is not None else 0.0
     return RunningRow(read_task_name(row[0]), row[1], row[2] or "", int(row[3]), measure)
 
 
 def _end(row: list[Any]) -> EndRow:
-    """Read [number, task, run, how, saved]."""
+    """Decode [number, task, run, ending, checkpoint]."""
     return EndRow(row[0], read_task_name(row[1]), row[2], Ending(row[3]), row[4] or "")
--- a/vanillawell/platform/http.py
+++ b/vanillawell/platform/http.py
@@ -1,7 +1,7 @@
-"""Exchange JSON documents over kept HTTP/1.1 connections, for everything the platform offers.
+"""Exchange JSON documents with the platform over persistent HTTP/1.1 connections.
 
-One owner makes hundreds of small calls a second on about one core. A client on a parser and plain
-streams takes a fraction of the processor time of a general connection pool.
+A shard owner makes hundreds of small calls a second on about one core. A client built on a parser
+and plain streams takes a fraction of the processor time of a general connection pool.
 """
 
 from __future__ import annotations
@@ -27,21 +27,21 @@
 
 log = logging.getLogger(__name__)
 
-CONNECT_BOUND = 1.0
-"""Seconds to wait for a connection; a lost opening packet is sent again only after that."""
+CONNECT_TIMEOUT = 1.0
+"""Seconds to wait for a connection; TCP retransmits a lost SYN only after that."""
 
-IDLE_BOUND = 12.0
-"""Seconds after which an unused connection is not used again; the other ends close after 15."""
+IDLE_TIMEOUT = 12.0
+"""Seconds after which an idle connection is not reused; the other ends close theirs after 15."""
 
-STALL_BOUND = 1.0
-"""Seconds without a further byte after which an answer that has begun to arrive is given up."""
+STALL_TIMEOUT = 1.0
+"""Seconds without new data after which a partly received answer is abandoned."""
 
-LONGEST_ANSWER = 10.0
-"""Seconds after which an answer is given up even while it arrives; a page of 1 MB takes two over a
-link of 5 Mbit/s."""
+MAX_ANSWER_DURATION = 10.0
+"""Seconds after which an answer is abandoned even while data arrives; a page of 1 MB takes two
+seconds over a link of 5 Mbit/s."""
 
 READ_SIZE = 65_536
-"""Bytes taken from a connection at once."""
+"""Maximum bytes read from a connection at once."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,7 +60,7 @@
 
 
 class _Answer:
-    """Collect one answer from the parser's callbacks."""
+    """Assemble one answer from the parser's callbacks."""
 
     def __init__(self) -> None:
         self.complete = False
@@ -69,20 +69,20 @@
         self.parser = httptools.HttpResponseParser(self)
 
     def on_body(self, data: bytes) -> None:
-        """Take a part of the body."""
+        """Append a part of the body."""
         self.body += data
 
     def on_message_complete(self) -> None:
-        """Note that the answer is whole, and whether the connection stays open after it.
+        """Record that the answer is complete and whether the connection stays open after it.
 
-        The parser forgets the latter with the next message, so it is read here.
+        The parser resets the latter at the next message, so it is read here.
         """
         self.complete = True
         self.reusable = self.parser.should_keep_alive()
 
 
 class _Connection:
-    """One connection, used for one call at a time."""
+    """A connection that carries one call at a time."""
 
     def __init__(self, stream: SocketStream, opened_at: float) -> None:
         self._stream = stream
@@ -91,30 +91,33 @@
         self.reusable = False
 
     async def exchange(self, request: bytes, timeout: float) -> HttpAnswer:
-        """Send a request and read its whole answer, which has to begin within `timeout` seconds.
+        """Send a request and read its complete answer, which has to begin within `timeout` seconds.
 
-        An answer that is arriving is not given up: asked for again from its first byte, a large
-        one would never be read over a narrow link. Raises TimeoutError.
+        Each part that arrives extends the deadline. A large answer that was abandoned midway and
+        requested again from its first byte would never arrive over a slow link. Raises
+        TimeoutError.
         """
         self.reusable = False
         answer = _Answer()
-        began = anyio.current_time()
+        started_at = anyio.current_time()
         with anyio.fail_after(timeout) as scope:
             await self._stream.send(request)
             while not answer.complete:
                 answer.parser.feed_data(await self._stream.receive(READ_SIZE))
-                arriving = anyio.current_time() + min(timeout, STALL_BOUND)
-                scope.deadline = max(scope.deadline, min(arriving, began + LONGEST_ANSWER))
+                stall_deadline = anyio.current_time() + min(timeout, STALL_TIMEOUT)
+                scope.deadline = max(
+                    scope.deadline, min(stall_deadline, started_at + MAX_ANSWER_DURATION)
+                )
         self.reusable = answer.reusable
         return HttpAnswer(answer.parser.get_status_code(), bytes(answer.body))
 
     async def close(self) -> None:
-        """Drop the connection without waiting for the other end."""
+        """Close the connection without waiting for the other end."""
         await anyio.aclose_forcefully(self._stream)
 
 
 class HttpClient:
-    """Own the connections to all addresses of the platform."""
+    """HTTP client with a pool of idle connections for each address of the platform."""
 
     def __init__(self) -> None:
         self._idle: defaultdict[str, list[_Connection]] = defaultdict(list)
@@ -136,17 +139,17 @@
 
         Raises:
             NotSentError: No connection could be opened, so the call had no effect.
-            NoAnswerError: The call went out and no whole answer came back.
+            NoAnswerError: The call was sent, but no complete answer arrived.
         """
         body = b"" if document is None else orjson.dumps(document)
-        request = _render(address, method, path, body, headers)
-        began = clock.read()
-        connection = await self._take(address, began, min(timeout, CONNECT_BOUND), fresh)
+        request = _render_request(address, method, path, body, headers)
+        started_at = clock.read()
+        connection = await self._acquire(address, started_at, min(timeout, CONNECT_TIMEOUT), fresh)
         try:
             answer = await connection.exchange(request, timeout)
         except TimeoutError as error:
             await connection.close()
-            await self._drop_older(address, began)
+            await self._close_opened_before(address, started_at)
             raise NoAnswerError(f"{path}: no answer in {timeout:.1f} s") from error
         except (OSError, anyio.EndOfStream, anyio.BrokenResourceError) as error:
             await connection.close()
@@ -157,45 +160,45 @@
         except BaseException:
             await connection.close()
             raise
-        await self._give_back(address, connection)
+        await self._release(address, connection)
         return answer
 
-    async def _take(self, address: str, now: float, bound: float, fresh: bool) -> _Connection:
+    async def _acquire(self, address: str, now: float, timeout: float, fresh: bool) -> _Connection:
         idle = self._idle[address]
         while idle and not fresh:
             connection = idle.pop()
-            if now - connection.idle_since < IDLE_BOUND:
+            if now - connection.idle_since < IDLE_TIMEOUT:
                 return connection
             await connection.close()
-        return _Connection(await self._open(address, bound), now)
+        return _Connection(await self._connect(address, timeout), now)
 
-    async def _open(self, address: str, bound: float) -> SocketStream:
+    async def _connect(self, address: str, timeout: float) -> SocketStream:
         host, _, port = address.rpartition(":")
         if not port.isdigit():
-            raise NotSentError(f"{address!r} is no address")
+            raise NotSentError(f"{address!r} is not an address")
         try:
-            with anyio.fail_after(bound):
+            with anyio.fail_after(timeout):
                 stream = await anyio.connect_tcp(host, int(port))
         except TimeoutError as error:
-            raise NotSentError(f"{address}: no connection in {bound:.1f} s") from error
+            raise NotSentError(f"{address}: no connection in {timeout:.1f} s") from error
         except OSError as error:
             raise NotSentError(f"{address}: {error}") from error
         apply_tcp_options(stream.extra(SocketAttribute.raw_socket))
         self.connections_opened += 1
         return stream
 
-    async def _give_back(self, address: str, connection: _Connection) -> None:
+    async def _release(self, address: str, connection: _Connection) -> None:
         if not connection.reusable:
             await connection.close()
             return
         connection.idle_since = clock.read()
         self._idle[address].append(connection)
 
-    async def _drop_older(self, address: str, moment: float) -> None:
-        """Close idle connections from before a call that timed out.
+    async def _close_opened_before(self, address: str, moment: float) -> None:
+        """Close idle connections that were opened before a call that timed out.
 
-        When the path to an address loses track of its connections, all open ones stay silent
-        while new ones work. Trying them one by one would cost a timeout each.
+        When a middlebox on the path loses its connection table, all open connections get no
+        answers while new ones work. Trying them one by one would cost a timeout each.
         """
         idle = self._idle[address]
         old = [connection for connection in idle if connection.opened_at < moment]
@@ -204,13 +207,13 @@
             await connection.close()
 
     async def close(self) -> None:
-        """Close all unused connections."""
+        """Close all idle connections."""
         for connections in self._idle.values():
             while connections:
                 await connections.pop().close()
 
 
-def _render(
+def _render_request(
     address: str, method: str, path: str, body: bytes, headers: Mapping[str, str] | None
 ) -> bytes:
     lines = [f"{method} {path} HTTP/1.1", f"Host: {address}", f"Content-Length: {len(body)}"]
--- a/vanillawell/platform/machines.py
+++ b/vanillawell/platform/machines.py
@@ -1,4 +1,4 @@
-"""Call the services for machines and for advice."""
+"""Call the platform's services for machines and for placement advice."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
     from vanillawell.platform.http import HttpClient
     from vanillawell.state.work import TaskId
 
-MACHINE_BOUND = 2.0
+MACHINE_CALL_TIMEOUT = 2.0
 """Seconds to wait for the answer to a call about machines."""
 
-ADVICE_BOUND = 3.0
-"""Seconds to wait for advice; calls are answered in turn, so some wait for others."""
+ADVICE_TIMEOUT = 3.0
+"""Seconds to wait for advice; the service answers one call at a time, so calls queue there."""
 
-REFUSALS = {
+REFUSAL_REASONS = {
     "fence": UpkeepRefusal.FENCE,
     "busy": UpkeepRefusal.BUSY,
     "wave": UpkeepRefusal.NOT_OF_WAVE,
@@ -34,19 +34,19 @@
 
 
 class PlatformMachines:
-    """Speak to the service that owns all machines."""
+    """Client of the service that manages all machines."""
 
     def __init__(self, http: HttpClient, address: str) -> None:
         self._http = http
         self._address = address
 
     async def list_machines(self) -> list[Machine]:
-        """Return all machines."""
+        """Return all machines, read page by page."""
         found: list[Machine] = []
         token = ""
         while True:
             path = f"/machines?pageToken={token}" if token else "/machines"
-            answer = await self._http.call(self._address, "GET", path, timeout=MACHINE_BOUND)
+            answer = await self._http.call(self._address, "GET", path, timeout=MACHINE_CALL_TIMEOUT)
             if answer.status != 200:
                 raise NotSentError(f"/machines: status {answer.status}")
             page, token = _page(answer.document())
@@ -65,12 +65,12 @@
     async def _order(self, path: str, document: object, duty: MachineDuty) -> None:
         headers = {"X-Duty-Holder": duty.holder, "X-Fence-Token": str(duty.token)}
         answer = await self._http.call(
-            self._address, "POST", path, document, MACHINE_BOUND, headers
+            self._address, "POST", path, document, MACHINE_CALL_TIMEOUT, headers
         )
         if answer.status == 200:
             return
         if answer.status == 409:
-            reason = REFUSALS.get(answer.document().get("reason"))
+            reason = REFUSAL_REASONS.get(answer.document().get("reason"))
             raise UpkeepRefusedError(reason or UpkeepRefusal.BUSY)
         if answer.status == 400:
             raise UpkeepRefusedError(UpkeepRefusal.NO_SUCH_MACHINE)
@@ -80,7 +80,7 @@
 
 
 class PlatformAdvice:
-    """Speak to the service that says which executors may run a step."""
+    """Client of the service that decides which executors may run a step."""
 
     def __init__(self, http: HttpClient, address: str) -> None:
         self._http = http
@@ -92,7 +92,7 @@
             "step": f"{task.job_id}.{task.occurrence}.{task.step}",
             "workers": list(executors),
         }
-        answer = await self._http.call(self._address, "POST", "/advise", document, ADVICE_BOUND)
+        answer = await self._http.call(self._address, "POST", "/advise", document, ADVICE_TIMEOUT)
         if answer.status == 429:
             raise AdviceBusyError
         if answer.status != 200:
@@ -101,7 +101,7 @@
 
 
 def _page(content: Any) -> tuple[list[Machine], str]:
-    """Read a page of the list, and what to ask the next one with; empty for the last."""
+    """Decode a page of the list and the token of the next page, which is empty for the last."""
     try:
         return [_machine(item) for item in content["machines"]], content.get("nextToken") or ""
     except (KeyError, TypeError, ValueError, AttributeError) as error:
@@ -109,7 +109,7 @@
 
 
 def _machine(item: Any) -> Machine:
-    """Read one entry of the list; `id` is that of the machine's executor."""
+    """Decode one item of the list; its `id` names the machine's executor."""
     return Machine(
         item["machine"],
         item["pool"],
--- a/vanillawell/platform/process.py
+++ b/vanillawell/platform/process.py
@@ -1,4 +1,4 @@
-"""Put one scheduler process on the users' platform together."""
+"""Assemble and run one scheduler process on the users' platform."""
 
 from __future__ import annotations
 
@@ -36,13 +36,13 @@
 SETTINGS_VARIABLE = "VANILLAWELL_SETTINGS"
 """Environment variable with the path of the settings file."""
 
-KEEPALIVE = 75
-"""Seconds after which an unused connection of a caller is closed; callers close theirs earlier."""
+CALLER_KEEPALIVE = 75
+"""Seconds after which an idle connection of a caller is closed; callers close theirs earlier."""
 
 
 @dataclass(frozen=True, slots=True)
-class Listening:
-    """One server and the socket that it accepts from."""
+class ListeningServer:
+    """A server and its listening socket."""
 
     server: EmbeddedServer
     listener: socket.socket
@@ -53,7 +53,7 @@
 
 
 def build_ports(settings: NodeSettings, http: HttpClient) -> Ports:
-    """Plug the platform into the scheduler."""
+    """Connect the scheduler's ports to the services of the platform."""
     return Ports(
         store=PlatformStore(http, settings.store),
         executors=PlatformExecutors(http),
@@ -69,11 +69,11 @@
     )
 
 
-def listen(app: Any, address: Address, key: str) -> Listening:
-    """Bind an address; `key` names its setting in errors."""
+def listen(app: Any, address: Address, key: str) -> ListeningServer:
+    """Bind an address and build its server; `key` names the setting in errors."""
     listener = bind(address.host, address.port, key)
     apply_tcp_options(listener)
-    return Listening(server(app, keepalive=KEEPALIVE), listener)
+    return ListeningServer(server(app, keepalive=CALLER_KEEPALIVE), listener)
 
 
 async def run(settings: NodeSettings) -> None:
@@ -86,12 +86,12 @@
         "ready": (ready, settings.ready),
         "metrics": (MetricsApp(node.telemetry.registry, node.refresh_telemetry), settings.metrics),
     }
-    listening = [listen(app, address, key) for key, (app, address) in apps.items()]
+    servers = [listen(app, address, key) for key, (app, address) in apps.items()]
     stop = anyio.Event()
     async with anyio.create_task_group() as tasks:
         await tasks.start(signals.follow, stop)
         tasks.start_soon(logs.flush_regularly)
-        for item in listening:
+        for item in servers:
             tasks.start_soon(item.serve)
         tasks.start_soon(node.run)
         log.info("started", extra={"instance": settings.instance, "zone": settings.zone})
@@ -99,7 +99,7 @@
         ready.stopping = True
         tasks.start_soon(node.hand_over)
         await anyio.sleep(STOP_NOTICE)
-        for item in listening:
+        for item in servers:
             item.server.should_exit = True
         await anyio.sleep(node.stop_duration - STOP_NOTICE)
         log.info("stopped", extra={"instance": settings.instance})
@@ -107,7 +107,7 @@
 
 
 def main() -> None:
-    """Read the settings and run."""
+    """Load the settings and run until a planned stop."""
     settings = load_model(Path(os.environ[SETTINGS_VARIABLE]), NodeSettings)
     logs.configure_queued(settings.instance, settings.log_level)
     anyio.run(run, settings, backend_options={"use_uvloop": True})
--- a/vanillawell/platform/store.py
+++ b/vanillawell/platform/store.py
@@ -1,4 +1,4 @@
-"""Call the platform's key-value store."""
+"""Client of the platform's key-value store."""
 
 from __future__ import annotations
 
@@ -26,20 +26,20 @@
     from vanillawell.platform.http import HttpAnswer, HttpClient
 
 STORE_CALL_TIMEOUT = 1.5
-"""Seconds to wait for an answer; a slow store takes some 0.4 s, 90 times its usual 4 ms."""
+"""Seconds to wait for an answer; a slow store takes about 0.4 s, 90 times its usual 4 ms."""
 
-WATCH_BOUND = 0.7
-"""Seconds to wait for the answer to a waiting call beyond its wait.
+WATCH_TIMEOUT_MARGIN = 0.7
+"""Seconds to wait for the answer to a watch call beyond the wait that it requests.
 
-Asking again costs little, and a call that was sent while the store was silent keeps news away for
-as long after its return."""
+Kept short: repeating the call costs little, and a call that was sent while the store was
+unresponsive delays changes by this time after the store has recovered."""
 
-NOT_DONE = (429, 503)
-"""Statuses by which the store says that it did nothing."""
+NO_EFFECT_STATUSES = (429, 503)
+"""Statuses by which the store reports that a call had no effect."""
 
 
 class PlatformStore:
-    """Speak to the store at one address."""
+    """Client of the store at one address."""
 
     def __init__(self, http: HttpClient, address: str) -> None:
         self._http = http
@@ -52,19 +52,19 @@
         method: str,
         path: str,
         document: object = None,
-        bound: float = STORE_CALL_TIMEOUT,
+        timeout: float = STORE_CALL_TIMEOUT,
         fresh: bool = False,
     ) -> HttpAnswer:
         self.calls += 1
         try:
             answer = await self._http.call(
-                self._address, method, path, document, bound, fresh=fresh
+                self._address, method, path, document, timeout, fresh=fresh
             )
         except NotSentError as error:
             raise StoreUnavailableError(str(error)) from error
         except NoAnswerError as error:
             raise StoreOutcomeUnknownError(str(error)) from error
-        if answer.status in NOT_DONE:
+        if answer.status in NO_EFFECT_STATUSES:
             raise StoreUnavailableError(f"{path}: status {answer.status}")
         if answer.status >= 500:
             raise StoreOutcomeUnknownError(f"{path}: status {answer.status}")
@@ -72,10 +72,10 @@
             raise StoreUnavailableError(f"{path}: status {answer.status}: {answer.body[:200]!r}")
         return answer
 
-    async def _read(self, path: str, bound: float = STORE_CALL_TIMEOUT) -> HttpAnswer:
-        """Make a call that changes nothing, so that a lost answer leaves no doubt."""
+    async def _read(self, path: str, timeout: float = STORE_CALL_TIMEOUT) -> HttpAnswer:
+        """Make a read-only call, which has no effect even if its answer is lost."""
         try:
-            return await self._call("GET", path, bound=bound)
+            return await self._call("GET", path, timeout=timeout)
         except StoreOutcomeUnknownError as error:
             raise StoreUnavailableError(str(error)) from error
 
@@ -87,15 +87,17 @@
     async def list(self, prefix: str) -> Listing:
         """Read all keys that start with `prefix`, page by page.
 
-        Pages are no snapshot: what changes between them is found by following on from the
-        revision of the first page.
+        The pages are not a snapshot. The listing carries the revision of the first page, so a
+        watch from there reports the changes made between pages.
         """
         items: list[KeyValue] = []
         revision = 0
         after = ""
         while True:
-            more = f"&after={quote(after, safe='')}" if after else ""
-            page = _document(await self._read(f"/kv-range?prefix={quote(prefix, safe='')}{more}"))
+            page_parameter = f"&after={quote(after, safe='')}" if after else ""
+            page = _document(
+                await self._read(f"/kv-range?prefix={quote(prefix, safe='')}{page_parameter}")
+            )
             revision = revision or page["storeRevision"]
             items.extend(_item(item) for item in page["items"])
             if not page["hasMore"]:
@@ -103,7 +105,7 @@
             after = items[-1].key
 
     async def transact(self, transaction: Transaction) -> TransactionResult:
-        """Run one transaction; `reads` are not offered by this store."""
+        """Run one transaction; this store does not support `reads`."""
         document = {
             "expect": [
                 {"key": item.key, "revision": item.mod_revision} for item in transaction.compares
@@ -133,20 +135,22 @@
         return int(_document(answer)["lease"])
 
     async def keep_alive(self, lease: int, fresh: bool = False) -> bool:
-        """Renew a lease, over a new connection if `fresh`; False means that it has ended."""
+        """Renew a lease, over a new connection if `fresh`; return False if it has expired."""
         answer = await self._call("POST", f"/kv-keep/{lease}", fresh=fresh)
         return answer.status != 404
 
     async def revoke(self, lease: int) -> None:
-        """End a lease and delete its keys."""
+        """Revoke a lease, which deletes its keys."""
         await self._call("DELETE", f"/kv-lease-end/{lease}")
 
     async def changes(self, prefix: str, after: int, wait: float) -> Changes:
         """Return the changes after a revision, waiting up to `wait` seconds for the first."""
         path = f"/kv-watch?prefix={quote(prefix, safe='')}&after={after}"
-        answer = await self._read(f"{path}&waitMs={round(wait * 1000)}", wait + WATCH_BOUND)
+        answer = await self._read(
+            f"{path}&waitMs={round(wait * 1000)}", wait + WATCH_TIMEOUT_MARGIN
+        )
         if answer.status == 410:
-            raise HistoryGoneError(f"{prefix}: changes after {after} are gone")
+            raise HistoryGoneError(f"{prefix}: changes after {after} are no longer available")
         content = _document(answer)
         return Changes(
             content["storeRevision"], tuple(_change(event) for event in content["events"])
