--- a/vanillawell/transport/__init__.py
+++ b/vanillawell/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Own sockets: callers, backend servers, peers and the store."""
+"""Network transports to callers, backend servers, peers and the store."""
--- a/vanillawell/transport/admin.py
+++ b/vanillawell/transport/admin.py
@@ -1,4 +1,4 @@
-"""Serve metrics, readiness and status on a port of their own."""
+"""Serve metrics, readiness and status on the admin port."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
     from vanillawell.transport.asgi import Receive, Scope, Send
 
 
-OPEN_PATHS = frozenset({"/live", "/ready", "/metrics"})
-"""Pages for the balancer and for collectors of metrics, which show no token."""
+PUBLIC_PATHS = frozenset({"/live", "/ready", "/metrics"})
+"""Paths for the load balancer and for collectors of metrics, which send no token."""
 
 EXECUTORS_PATH = "/executors/"
-"""Below this path the planner asks whether an executor has been drained."""
+"""Path prefix at which the planner asks whether an executor has been drained."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryStatus:
-    """One entry's whole status."""
+    """Complete status of one entry."""
 
     instance: str
     incarnation: str
@@ -74,7 +74,7 @@
 
 
 class AdminApp:
-    """The ASGI application on the admin port."""
+    """ASGI application of the admin port."""
 
     def __init__(
         self,
@@ -101,18 +101,18 @@
 
     @property
     def ready(self) -> bool:
-        """Tell whether the balancer should send callers here."""
+        """Return whether the load balancer should send callers here."""
         return self._configuration.policy is not None and not self._stopping
 
     def stop(self) -> None:
-        """Turn readiness off."""
+        """Report as not ready from now on."""
         self._stopping = True
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Answer one request."""
         if scope["type"] != "http":
             return
-        if scope["path"] not in OPEN_PATHS and not self._authorized(scope):
+        if scope["path"] not in PUBLIC_PATHS and not self._authorized(scope):
             await send_json(send, {"error": "not authorized"}, 401)
             return
         match scope["path"]:
@@ -125,25 +125,27 @@
             case "/status":
                 await send_json(send, asdict(self.status()))
             case "/burn":
-                await send_json(send, self._burn_lines())
+                await send_json(send, self._burn_rows())
             case path if path.startswith(EXECUTORS_PATH):
-                await send_json(send, self._executor(path.removeprefix(EXECUTORS_PATH)))
+                await send_json(send, self._executor_status(path.removeprefix(EXECUTORS_PATH)))
             case _:
                 await send_json(send, {"error": "no such page"}, 404)
 
     def _authorized(self, scope: Scope) -> bool:
-        shown = next((value for name, value in scope["headers"] if name == b"authorization"), b"")
-        return hmac.compare_digest(shown, self._token) if self._token else True
+        presented = next(
+            (value for name, value in scope["headers"] if name == b"authorization"), b""
+        )
+        return hmac.compare_digest(presented, self._token) if self._token else True
 
-    def _burn_lines(self) -> list[dict[str, object]]:
+    def _burn_rows(self) -> list[dict[str, object]]:
         counts = self._burn.counts(clock.read())
         return [
             {"service": service, "organisation": organisation, **asdict(item)}
             for (service, organisation), item in counts.items()
         ]
 
-    def _executor(self, name: str) -> dict[str, int]:
-        """Say what this entry runs on an executor, and by which assignment."""
+    def _executor_status(self, name: str) -> dict[str, int]:
+        """Return how many requests this entry runs on an executor, and its assignment's version."""
         running = sum(pool.running_at(name) for pool in self._dispatcher.pools.values())
         return {"assignment": self._assignment.version, "running": running}
 
@@ -152,7 +154,7 @@
         await send_metrics(self._telemetry.registry, scope, send)
 
     def status(self) -> EntryStatus:
-        """Return what this entry knows now."""
+        """Return the current status of this entry."""
         now = clock.read()
         me = self._membership.me
         policy = self._configuration.policy
@@ -170,13 +172,13 @@
             unfinished=self._dispatcher.unfinished,
             store_calls=self._store_calls(),
             organisations={
-                name: self._organisation(name, organisation.limit, now)
+                name: self._organisation_status(name, organisation.limit, now)
                 for name, organisation in organisations.items()
             },
-            pools=self._pools(now),
+            pools=self._pool_statuses(now),
         )
 
-    def _organisation(self, name: str, limit: int, now: float) -> OrganisationStatus:
+    def _organisation_status(self, name: str, limit: int, now: float) -> OrganisationStatus:
         return OrganisationStatus(
             limit=limit,
             units_held=self._limits.held(name),
@@ -185,7 +187,7 @@
             wanted=self._dispatcher.wanted(name),
         )
 
-    def _pools(self, now: float) -> dict[str, PoolStatus]:
+    def _pool_statuses(self, now: float) -> dict[str, PoolStatus]:
         return {
             name: PoolStatus(
                 service=pool.policy.service,
--- a/vanillawell/transport/admin_client.py
+++ b/vanillawell/transport/admin_client.py
@@ -1,4 +1,4 @@
-"""Reach the admin port of an entry, with the operators' token and over TLS where it is on."""
+"""Call the admin ports of entries, with the operators' token and over TLS if enabled."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 @dataclass(frozen=True, slots=True)
 class AdminAccess:
-    """How admin ports are reached."""
+    """Credentials for the admin ports of all entries."""
 
     token: str = ""
-    """Secret that proves an operator or another entry; empty if none is asked for."""
+    """Bearer token that authenticates an operator or another entry; empty if none is required."""
 
     trust: ClientTrust | None = None
-    """Authorities of the entries' certificates; None for plain HTTP."""
+    """Trusted authorities of the entries' certificates; None for plain HTTP."""
 
     def client(self, member: Presence) -> JsonClient:
         """Return a client for one entry's admin port."""
--- a/vanillawell/transport/asgi.py
+++ b/vanillawell/transport/asgi.py
@@ -1,4 +1,4 @@
-"""Share the few ASGI steps that every HTTP process here takes."""
+"""Provide the ASGI and uvicorn helpers that all HTTP servers here share."""
 
 from __future__ import annotations
 
@@ -22,19 +22,19 @@
 
 
 class BodyTooLargeError(Exception):
-    """A request body exceeds its bound."""
+    """A request body exceeds its maximum size."""
 
 
 class CallerGoneError(Exception):
-    """The caller closed the connection before its request was whole."""
+    """The caller closed the connection before its request was complete."""
 
 
 class EmbeddedServer(uvicorn.Server):
-    """Serve without taking over signals, which the process handles in one place."""
+    """uvicorn server that leaves signals to the process, which handles them in one place."""
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """Leave all signal handlers alone."""
+        """Install no signal handlers."""
         yield
 
 
@@ -42,7 +42,7 @@
     """Bind a listening socket; `key` names the setting in the error.
 
     Raises:
-        AddressInUseError: Another process holds the address, or it is not ours to bind.
+        AddressInUseError: Another process holds the address, or this process may not bind it.
     """
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     listener = socket.socket(family, socket.SOCK_STREAM)
@@ -81,12 +81,12 @@
     return EmbeddedServer(config)
 
 
-async def read_body(receive: Receive, bound: int) -> bytes:
-    """Collect a request body of at most `bound` bytes.
+async def read_body(receive: Receive, max_size: int) -> bytes:
+    """Read a request body of at most `max_size` bytes.
 
     Raises:
         BodyTooLargeError: The body is larger.
-        CallerGoneError: The caller left before the body was whole.
+        CallerGoneError: The caller disconnected before the body was complete.
     """
     chunks: list[bytes] = []
     size = 0
@@ -96,7 +96,7 @@
             raise CallerGoneError
         chunk = message.get("body", b"")
         size += len(chunk)
-        if size > bound:
+        if size > max_size:
             raise BodyTooLargeError
         chunks.append(chunk)
         if not message.get("more_body", False):
@@ -106,7 +106,7 @@
 async def send_bytes(
     send: Send, status: int, body: bytes, headers: list[tuple[bytes, bytes]] | None = None
 ) -> None:
-    """Send a whole response with its length."""
+    """Send a complete response with its length."""
     length = (b"content-length", str(len(body)).encode())
     start = {"type": "http.response.start", "status": status, "headers": [*(headers or []), length]}
     await send(start)
--- a/vanillawell/transport/backend.py
+++ b/vanillawell/transport/backend.py
@@ -1,8 +1,8 @@
-"""Exchange requests and answers with one executor over HTTP/1.1.
+"""Send requests to one executor over HTTP/1.1 and receive its answers.
 
-One request at a time travels on a connection, and a connection whose request was given up on is
-closed and never reused, so a late answer cannot reach another request. An answer is whole by its
-framing or it is an error.
+A connection carries one request at a time. If a request is abandoned, its connection is closed and
+never reused, so a late answer cannot be taken for the answer to another request. An answer that is
+incomplete by its HTTP framing is an error.
 """
 
 from __future__ import annotations
@@ -25,20 +25,20 @@
     from vanillawell.state.policy import Executor
     from vanillawell.transport.dialer import Dialer
 
-BUFFER_BOUND = 262_144
-"""Bytes of an answer that are collected before any of it goes to the caller."""
+MAX_BUFFERED_BYTES = 262_144
+"""Maximum bytes of an answer that are buffered before it is streamed to the caller."""
 
-STREAM_BACKLOG = 4
-"""Chunks that may wait between an executor and a slow caller."""
+MAX_BUFFERED_CHUNKS = 4
+"""Maximum chunks that are buffered between an executor and a slow caller."""
 
 CONNECT_TIMEOUT = 1.0
 """Seconds to open a connection to an executor."""
 
-KEEPALIVE = 10.0
-"""Seconds after which an idle connection is retired, before a middlebox forgets it."""
+KEEPALIVE_EXPIRY = 10.0
+"""Seconds after which an idle connection is closed, before a middlebox drops its state."""
 
-RENEW_INTERVAL = 1.0
-"""Seconds within which connections count as new, so that slow requests do not renew them all."""
+POOL_REPLACE_INTERVAL = 1.0
+"""Minimum seconds between two replacements of the pool, so that slow requests do not repeat it."""
 
 PROBE_TIMEOUT = 1.0
 """Seconds that a probe on a new connection may take."""
@@ -48,20 +48,20 @@
 
 
 class ExecutorLink:
-    """Own all connections of this entry to one executor."""
+    """All connections of this entry to one executor."""
 
     def __init__(self, executor: Executor, connections: int, dialer: Dialer) -> None:
         self._executor = executor
         self._connections = connections
         self._dialer = dialer
         self._pool = self._new_pool()
-        self._old_pools: list[httpcore.AsyncConnectionPool] = []
+        self._replaced_pools: list[httpcore.AsyncConnectionPool] = []
         self._attempts: set[Attempt] = set()
-        self._renewed_at = 0.0
+        self._replaced_at = 0.0
 
     @property
     def attempts(self) -> set[Attempt]:
-        """Return the attempts under way."""
+        """Return the attempts in progress."""
         return self._attempts
 
     @property
@@ -70,27 +70,27 @@
         return self._executor
 
     def _new_pool(self) -> httpcore.AsyncConnectionPool:
-        return self._dialer.pool(self._connections, KEEPALIVE)
+        return self._dialer.pool(self._connections, KEEPALIVE_EXPIRY)
 
     async def renew(self, now: float) -> None:
         """Send all further requests over new connections; close old ones that are idle."""
-        if now - self._renewed_at < RENEW_INTERVAL:
+        if now - self._replaced_at < POOL_REPLACE_INTERVAL:
             return
-        self._renewed_at = now
-        self._old_pools.append(self._pool)
+        self._replaced_at = now
+        self._replaced_pools.append(self._pool)
         self._pool = self._new_pool()
         await self.close_idle()
 
     async def close_idle(self) -> None:
-        """Close replaced pools in which no request is under way any more."""
-        idle = [pool for pool in self._old_pools if all(c.is_idle() for c in pool.connections)]
-        self._old_pools = [pool for pool in self._old_pools if pool not in idle]
+        """Close replaced pools in which no request is in progress any more."""
+        idle = [pool for pool in self._replaced_pools if all(c.is_idle() for c in pool.connections)]
+        self._replaced_pools = [pool for pool in self._replaced_pools if pool not in idle]
         for pool in idle:
             await pool.aclose()
 
     async def close(self) -> None:
         """Close everything."""
-        for pool in (self._pool, *self._old_pools):
+        for pool in (self._pool, *self._replaced_pools):
             await pool.aclose()
 
     def _url(self, target: bytes) -> httpcore.URL:
@@ -102,7 +102,7 @@
         )
 
     async def probe(self) -> bool:
-        """Ask for any answer on a new connection (OPTIONS *, RFC 9110 section 9.3.7)."""
+        """Return whether a new connection gets an answer (OPTIONS *, RFC 9110 section 9.3.7)."""
         async with self._dialer.pool(1, None) as pool:
             try:
                 await pool.request(
@@ -115,10 +115,10 @@
     async def exchange(
         self, forward: Forward, attempt: Attempt, longest: float, deliver: Callable[[Answer], None]
     ) -> None:
-        """Send a request, hand the answer to `deliver`, and return when it has wholly arrived.
+        """Send a request, pass the answer to `deliver`, and return when it has arrived completely.
 
-        A large answer is delivered when its first part is here, and the rest follows by its
-        stream. Raises AttemptError if nothing could be delivered.
+        A large answer is delivered once its first part has arrived, and the rest follows on its
+        stream. Raises AttemptError if no answer could be delivered.
         """
         watcher = SendWatcher(attempt.may_send)
         self._attempts.add(attempt)
@@ -149,7 +149,7 @@
             extensions={"timeout": limits, "trace": watcher.trace},
         ) as response:
             attempt.head_arrived = True
-            if _refused(response):
+            if _is_proven_refusal(response):
                 raise AttemptError(Failure.REFUSED_FULL, "the executor is full")
             await self._receive(response, deliver)
 
@@ -162,20 +162,20 @@
         async for chunk in chunks:
             collected.append(chunk)
             size += len(chunk)
-            if size > BUFFER_BOUND:
+            if size > MAX_BUFFERED_BYTES:
                 answer = self._answer(response, b"".join(collected))
-                await self._pass_on(answer, chunks, deliver)
+                await self._stream_rest(answer, chunks, deliver)
                 return
         deliver(self._answer(response, b"".join(collected)))
 
     def _answer(self, response: httpcore.Response, body: bytes) -> Answer:
         return Answer(response.status, response.headers, body, executor=self._executor.name)
 
-    async def _pass_on(
+    async def _stream_rest(
         self, answer: Answer, chunks: AsyncIterator[bytes], deliver: Callable[[Answer], None]
     ) -> None:
-        """Pass on the rest of a large answer; a caller that left does not stop the reading."""
-        send, answer.rest = anyio.create_memory_object_stream[bytes](STREAM_BACKLOG)
+        """Stream the rest of a large answer; read it to the end even if the caller disconnects."""
+        send, answer.rest = anyio.create_memory_object_stream[bytes](MAX_BUFFERED_CHUNKS)
         deliver(answer)
         try:
             async for chunk in chunks:
@@ -194,8 +194,8 @@
         return
 
 
-def _refused(response: httpcore.Response) -> bool:
-    """Tell whether the executor proves that it refused without running."""
+def _is_proven_refusal(response: httpcore.Response) -> bool:
+    """Return whether the response proves that the executor refused without running the request."""
     return response.status == 503 and (VERDICT_HEADER, b"not-run") in [
         (key.lower(), value) for key, value in response.headers
     ]
--- a/vanillawell/transport/caller.py
+++ b/vanillawell/transport/caller.py
@@ -1,4 +1,4 @@
-"""Answer callers over HTTP/1.1: check, claim, queue and pass on answers."""
+"""Serve callers over HTTP/1.1: check, claim and queue requests, and forward the answers."""
 
 from __future__ import annotations
 
@@ -22,7 +22,12 @@
     read_body,
     send_bytes,
 )
-from vanillawell.transport.request_head import Head, RequestRefusedError, read_head, refused
+from vanillawell.transport.request_head import (
+    RequestHead,
+    RequestRefusedError,
+    read_head,
+    refusal_error,
+)
 
 if TYPE_CHECKING:
     from vanillawell.coordination.claims import ClaimService
@@ -33,7 +38,7 @@
     from vanillawell.telemetry import Telemetry
     from vanillawell.transport.asgi import Receive, Scope, Send
 
-HOP_BY_HOP = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -46,36 +51,36 @@
         b"upgrade",
     )
 )
-"""Headers that end at this hop (RFC 9110 section 7.6.1)."""
+"""Hop-by-hop headers, which are never forwarded (RFC 9110 section 7.6.1)."""
 
-NOT_FORWARDED = HOP_BY_HOP | {b"authorization", b"content-length", b"host", b"expect"}
-"""Headers of a request that are not passed on; an organisation's key never reaches a backend
+UNFORWARDED_HEADERS = HOP_BY_HOP_HEADERS | {b"authorization", b"content-length", b"host", b"expect"}
+"""Headers of a request that are not forwarded; an organisation's key never reaches a backend
 server."""
 
-LONGEST_STALL = 10.0
-"""Seconds a caller may take no data of its answer before its connection is dropped."""
+SEND_STALL_TIMEOUT = 10.0
+"""Seconds for which a caller may accept no data of its answer before its connection is closed."""
 
-STOPPING_RETRY_AFTER = 0.5
-"""Seconds after which the balancer has another entry for the caller."""
+UNREADY_RETRY_AFTER = 0.5
+"""Seconds after which the load balancer has another entry for the caller."""
 
 
 class CallerAbortError(Exception):
-    """An answer broke off after its head went out; the connection must not end cleanly."""
+    """An answer broke off after its head was sent; the connection must not be closed cleanly."""
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """How a request ended, for the counters."""
+    """Result of a request, for metrics."""
 
     name: str
     """Status of an answer, or type of a refusal."""
 
     status: int
-    """HTTP status; 0 if the caller left before its request was whole."""
+    """HTTP status; 0 if the caller disconnected before its request was complete."""
 
 
 class CallerApp:
-    """The ASGI application that callers' requests reach."""
+    """ASGI application that answers callers' requests."""
 
     def __init__(
         self,
@@ -94,15 +99,15 @@
         self._ids = (f"{prefix}-{number}" for number in itertools.count(1))
         self._closing = False
         self._refusing = False
-        self._open = 0
+        self._open_requests = 0
 
     @property
     def open_requests(self) -> int:
-        """Count requests that have arrived and are not answered yet."""
-        return self._open
+        """Return the number of requests that have arrived and are not answered yet."""
+        return self._open_requests
 
     def close_connections(self) -> None:
-        """Ask callers to come back over new connections, which the balancer sends elsewhere."""
+        """Make callers open new connections, which the load balancer sends to other entries."""
         self._closing = True
 
     def refuse_new(self) -> None:
@@ -113,7 +118,7 @@
         """Answer one request."""
         if scope["type"] != "http":
             return
-        self._open += 1
+        self._open_requests += 1
         started = clock.read()
         labels = {"service": "-", "organisation": "-"}
         try:
@@ -123,7 +128,7 @@
         except CallerGoneError:
             outcome = Outcome("caller-gone", 0)
         finally:
-            self._open -= 1
+            self._open_requests -= 1
         self._count(labels, outcome, started, clock.read())
 
     def _count(self, labels: dict[str, str], outcome: Outcome, started: float, now: float) -> None:
@@ -145,17 +150,17 @@
         labels["organisation"] = organisation.name
         pool = policy.services.get(head.service)
         if pool is None:
-            raise refused(Reason.NO_SUCH_SERVICE, f"no service is named {head.service!r}")
+            raise refusal_error(Reason.NO_SUCH_SERVICE, f"no service is named {head.service!r}")
         labels["service"] = head.service
         deadline = now + head.timeout(organisation.longest_timeout)
         try:
             with anyio.fail_after(deadline - now):
                 body = await read_body(receive, pool.body_bound)
         except TimeoutError:
-            raise refused(Reason.BODY_LATE) from None
+            raise refusal_error(Reason.BODY_LATE) from None
         except BodyTooLargeError:
-            raise refused(Reason.TOO_LARGE, f"at most {pool.body_bound} bytes") from None
-        request = self._order(head, organisation, pool, body, deadline)
+            raise refusal_error(Reason.TOO_LARGE, f"at most {pool.body_bound} bytes") from None
+        request = self._checked_request(head, organisation, pool, body, deadline)
         key = head.headers.get(b"idempotency-key")
         if head.idempotent or key is None:
             return await self._run(request, receive, send, None)
@@ -163,35 +168,38 @@
 
     def _ready_policy(self) -> Policy:
         if self._refusing:
-            raise refused(Reason.STOPPING, retry_after=STOPPING_RETRY_AFTER)
+            raise refusal_error(Reason.STOPPING, retry_after=UNREADY_RETRY_AFTER)
         if self._configuration.policy is None:
-            raise refused(Reason.STARTING, retry_after=STOPPING_RETRY_AFTER)
+            raise refusal_error(Reason.STARTING, retry_after=UNREADY_RETRY_AFTER)
         return self._configuration.policy
 
-    def _authenticate(self, policy: Policy, head: Head, now: float) -> OrganisationPolicy:
-        """Find the organisation of the key, on a configuration that is fresh enough to trust.
+    def _authenticate(self, policy: Policy, head: RequestHead, now: float) -> OrganisationPolicy:
+        """Return the organisation of the key, provided that the configuration is fresh enough.
 
-        An entry that is cut off from the store and from all peers cannot hear that a key was
-        withdrawn. After the organisation's bound it refuses, rather than accept a withdrawn key.
+        An entry that reaches neither the store nor any peer does not learn that a key was
+        withdrawn. Once its configuration is older than the organisation's `key_freshness`, it
+        refuses requests rather than accept a withdrawn key.
         """
         owner = policy.owner(head.bearer_key())
         if owner is None:
-            raise refused(Reason.UNAUTHENTICATED)
+            raise refusal_error(Reason.UNAUTHENTICATED)
         organisation = policy.organisations[owner.organisation]
         if self._configuration.fresh_age(now) > organisation.key_freshness:
-            raise refused(Reason.CONFIGURATION_STALE, retry_after=STOPPING_RETRY_AFTER)
+            raise refusal_error(Reason.CONFIGURATION_STALE, retry_after=UNREADY_RETRY_AFTER)
         return organisation
 
-    def _order(
+    def _checked_request(
         self,
-        head: Head,
+        head: RequestHead,
         organisation: OrganisationPolicy,
         pool: PoolPolicy,
         body: bytes,
         deadline: float,
     ) -> CheckedRequest:
         request_id = next(self._ids)
-        headers = [(name, value) for name, value in head.raw_headers if name not in NOT_FORWARDED]
+        headers = [
+            (name, value) for name, value in head.raw_headers if name not in UNFORWARDED_HEADERS
+        ]
         headers += [
             (b"host", pool.service.encode() if pool.service else b"-"),
             (b"content-length", str(len(body)).encode()),
@@ -215,8 +223,8 @@
         if refusal:
             raise RequestRefusedError(refusal)
         forward = request.forward
-        print_of_request = fingerprint(forward.method, forward.target, forward.body)
-        claimed = await self._claims.claim(request.organisation, key, print_of_request)
+        request_fingerprint = fingerprint(forward.method, forward.target, forward.body)
+        claimed = await self._claims.claim(request.organisation, key, request_fingerprint)
         match claimed:
             case Refusal():
                 raise RequestRefusedError(claimed)
@@ -248,11 +256,13 @@
         return Outcome(str(outcome.status), outcome.status)
 
     def _conclude(self, claim: HeldClaim, ticket: Ticket, outcome: Answer | Refusal) -> None:
-        """Record how a claimed request ended, or will when its attempt does."""
+        """Record the outcome of a claimed request, now or when its running attempt ends."""
 
         def conclude(answer: Answer | None, verdict: Verdict) -> None:
             if answer is not None:
-                self._claims.conclude_ran(claim, answer.status, _kept(answer), answer.body)
+                self._claims.conclude_ran(
+                    claim, answer.status, _replayed_headers(answer), answer.body
+                )
             elif verdict is Verdict.NOT_RUN:
                 self._claims.conclude_not_run(claim)
             else:
@@ -266,7 +276,7 @@
             conclude(None, outcome.verdict)
 
     async def _wait(self, ticket: Ticket, receive: Receive) -> Answer | Refusal:
-        """Wait for the outcome, the deadline or the caller's leaving, whichever is first."""
+        """Return the outcome; abort the request at its deadline or when the caller disconnects."""
         with anyio.move_on_after(max(0.0, ticket.request.deadline - clock.read())):
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self._watch_caller, ticket, receive)
@@ -288,7 +298,7 @@
         headers = [
             (name.lower(), value)
             for name, value in answer.headers
-            if name.lower() not in HOP_BY_HOP
+            if name.lower() not in HOP_BY_HOP_HEADERS
         ]
         headers.append((b"vanillawell-verdict", b"ran"))
         headers += self._connection_headers()
@@ -300,7 +310,7 @@
         await self._send_rest(send, answer)
 
     async def _send_rest(self, send: Send, answer: Answer) -> None:
-        """Pass on a large answer part by part; a cut leaves it visibly incomplete."""
+        """Stream a large answer; if it breaks off, the caller can see that it is incomplete."""
         assert answer.rest is not None
         async with answer.rest:
             await _send_part(send, answer.body)
@@ -320,19 +330,19 @@
 
 
 async def _send_part(send: Send, part: bytes) -> None:
-    """Send a part of a large answer to a caller that keeps reading.
+    """Send a part of a large answer; raises CallerAbortError if the caller stops reading.
 
-    A caller whose connection went silent stops taking data and closes nothing. Without a bound
-    its answer would hold an executor's slot and a unit of the organisation's limit for ever.
+    A caller whose connection is dead accepts no data and never closes it. Without a timeout its
+    answer would hold an executor's slot and a unit of the organisation's limit for ever.
     """
     try:
-        with anyio.fail_after(LONGEST_STALL):
+        with anyio.fail_after(SEND_STALL_TIMEOUT):
             await send({"type": "http.response.body", "body": part, "more_body": True})
     except TimeoutError:
         raise CallerAbortError from None
 
 
-def _kept(answer: Answer) -> list[tuple[bytes, bytes]]:
-    """Return the headers that a kept answer is replayed with."""
-    dropped = HOP_BY_HOP | {b"content-length", b"date"}
+def _replayed_headers(answer: Answer) -> list[tuple[bytes, bytes]]:
+    """Return the headers with which a stored answer is replayed."""
+    dropped = HOP_BY_HOP_HEADERS | {b"content-length", b"date"}
     return [(name, value) for name, value in answer.headers if name.lower() not in dropped]
--- a/vanillawell/transport/dialer.py
+++ b/vanillawell/transport/dialer.py
@@ -1,4 +1,4 @@
-"""Open connections to backend servers from this entry's own address, by TLS where it is on."""
+"""Open connections to backend servers from this entry's own address, over TLS if enabled."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Dialer:
-    """How backend servers are reached."""
+    """Settings of the connections to backend servers."""
 
     local_host: str
-    """Address of this entry that connections come from."""
+    """Local address of the connections."""
 
     trust: ClientTrust | None = None
-    """Authorities of the backend servers' certificates; None for plain HTTP."""
+    """Trusted authorities of the backend servers' certificates; None for plain HTTP."""
 
     @property
     def scheme(self) -> bytes:
--- a/vanillawell/transport/http_client.py
+++ b/vanillawell/transport/http_client.py
@@ -1,4 +1,4 @@
-"""Make small JSON calls over HTTP/1.1, telling refused from unanswered ones."""
+"""Make small JSON calls over HTTP/1.1, and tell calls without effect from unanswered ones."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 
 class TooLateToSendError(Exception):
-    """The request may not be sent any more; nothing of it was."""
+    """The request may no longer be sent; no byte of it was."""
 
 
 class SendWatcher:
-    """Note whether a request's first byte may have gone out.
+    """Record whether the first byte of a request may have been sent.
 
     httpcore reports each step through its trace extension. An error before the headers are
-    begun proves that nothing ran; the same error afterwards proves nothing.
+    started proves that the request did not run; the same error afterwards proves nothing.
     """
 
     def __init__(self, may_send: Callable[[], bool] = lambda: True) -> None:
@@ -39,14 +39,14 @@
 
     @property
     def sent(self) -> bool:
-        """Tell whether writing has begun."""
+        """Return whether sending has started."""
         return self._sent
 
     async def trace(self, event: str, info: dict[str, Any]) -> None:
-        """Receive one httpcore trace event; raises TooLateToSendError to stop the request.
+        """Handle one httpcore trace event; raises TooLateToSendError to stop the request.
 
-        A process may have been paused since it decided to send. This is the last moment before
-        the first byte, so the decision is checked here once more.
+        The process may have been suspended since it decided to send. The decision is therefore
+        checked again here, immediately before the first byte.
         """
         if event == "http11.send_request_headers.started":
             if not self._may_send():
@@ -55,12 +55,12 @@
 
 
 def timeouts(seconds: float) -> dict[str, float]:
-    """Return httpcore's timeout extension with one bound for every step."""
+    """Return httpcore's timeout extension with the same timeout for every step."""
     return {"connect": seconds, "read": seconds, "write": seconds, "pool": seconds}
 
 
 class JsonClient:
-    """Own a connection pool to one address and exchange JSON documents over it."""
+    """Exchange JSON documents with one address over a connection pool."""
 
     def __init__(
         self,
@@ -94,7 +94,7 @@
 
     @property
     def pool(self) -> httpcore.AsyncConnectionPool:
-        """Give the pool for streamed calls."""
+        """Return the connection pool, for streamed calls."""
         return self._pool
 
     def url(self, path: str) -> str:
@@ -107,8 +107,8 @@
         """Send a document and return the answer's document.
 
         Raises:
-            NotSentError: Nothing went out, or the call was refused for who makes it.
-            NoAnswerError: No whole, successful answer came back.
+            NotSentError: No byte was sent, or the call was refused as unauthorized.
+            NoAnswerError: No complete, successful answer arrived.
         """
         return await self._call("POST", path, orjson.dumps(document), timeout, headers)
 
--- a/vanillawell/transport/metrics.py
+++ b/vanillawell/transport/metrics.py
@@ -1,4 +1,4 @@
-"""Serve counters and histograms on an address of their own."""
+"""Serve metrics over HTTP."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 
 
 class MetricsApp:
-    """The ASGI application that collectors of metrics reach."""
+    """ASGI application that answers collectors of metrics."""
 
     def __init__(self, registry: Registry, refresh: Callable[[], None]) -> None:
         self._registry = registry
         self._refresh = refresh
-        """Called before each answer, for figures that are kept elsewhere."""
+        """Called before each answer, to update metrics from values that are held elsewhere."""
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Answer with all metrics."""
--- a/vanillawell/transport/peer_stream.py
+++ b/vanillawell/transport/peer_stream.py
@@ -1,4 +1,4 @@
-"""Carry peer messages over TCP, each behind its length."""
+"""Carry peer messages over TCP, each with a length prefix."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
     from anyio.abc import ByteStream
 
-LENGTH = struct.Struct(">I")
+LENGTH_PREFIX = struct.Struct(">I")
 
-LARGEST_MESSAGE = 4 * 2**20
-"""Bytes; a longer announced length means that the other end is no peer of ours."""
+MAX_MESSAGE_SIZE = 4 * 2**20
+"""Maximum bytes of a message; a larger length prefix means that the other end is not a peer."""
 
 
 class PeerStream:
-    """Send and receive whole messages over one connection."""
+    """Send and receive complete messages over one connection."""
 
     def __init__(
         self,
@@ -39,19 +39,19 @@
         self._count = count
 
     async def send(self, message: Message) -> int:
-        """Send one message and return its bytes on the wire."""
+        """Send one message and return its size on the wire in bytes."""
         data = encode(message, self._names())
-        await self._stream.send(LENGTH.pack(len(data)) + data)
-        self._count("sent", len(data) + LENGTH.size)
-        return len(data) + LENGTH.size
+        await self._stream.send(LENGTH_PREFIX.pack(len(data)) + data)
+        self._count("sent", len(data) + LENGTH_PREFIX.size)
+        return len(data) + LENGTH_PREFIX.size
 
     async def receive(self) -> Message:
-        """Receive one message; raises PeerProtocolError if it is none of ours."""
-        (length,) = LENGTH.unpack(await self._reader.receive_exactly(LENGTH.size))
-        if length > LARGEST_MESSAGE:
-            raise PeerProtocolError(f"peer message of {length} bytes")
+        """Receive one message; raises PeerProtocolError if it is not a valid peer message."""
+        (length,) = LENGTH_PREFIX.unpack(await self._reader.receive_exactly(LENGTH_PREFIX.size))
+        if length > MAX_MESSAGE_SIZE:
+            raise PeerProtocolError(f"peer message of {length} bytes is too large")
         data = await self._reader.receive_exactly(length)
-        self._count("received", length + LENGTH.size)
+        self._count("received", length + LENGTH_PREFIX.size)
         return decode(data, self._names())
 
 
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TcpPeerTransport:
-    """Reach peers over TCP."""
+    """Connect to peers over TCP."""
 
     dial = staticmethod(connect)
     wrap = PeerStream
--- a/vanillawell/transport/platform.py
+++ b/vanillawell/transport/platform.py
@@ -1,7 +1,7 @@
-"""Call the platform's own interface: its lagging list of instances, and reboots.
+"""Call the platform's interface: its delayed list of instances, workers, tasks and reboots.
 
-The platform's interface is the users' own; this module and its stand-in are the only places that
-know its paths, so that another platform takes one module.
+The interface belongs to the users' platform. Only this module and its stand-in know its paths, so
+that support for another platform takes one module.
 """
 
 from __future__ import annotations
@@ -18,34 +18,34 @@
     from vanillawell.state.jobs import Job
 
 CALL_TIMEOUT = 2.0
-"""Seconds that one call may take."""
+"""Seconds to wait for the answer to a call."""
 
 
-JSON_MARKS = 6
-"""Quotes, colon and comma around a name and its state."""
+JSON_PUNCTUATION_SIZE = 6
+"""Bytes of quotes, colon and comma around a name and its state."""
 
 
 class PlatformClient:
-    """Talk to the platform."""
+    """Client of the platform."""
 
     def __init__(self, address: Address, local_host: str) -> None:
         self._client = JsonClient(address, connections=2, local_host=local_host)
 
     async def instances(self) -> InstanceList:
-        """Read the list of instances."""
+        """Return the list of instances."""
         answer = await self._call("/platform/instances", None)
         states = answer["instances"]
         live = frozenset(name for name, state in states.items() if state == "live")
-        size = sum(len(name) + len(state) + JSON_MARKS for name, state in states.items())
+        size = sum(len(name) + len(state) + JSON_PUNCTUATION_SIZE for name, state in states.items())
         return InstanceList(live, float(answer["age"]), size)
 
     async def is_gone(self, instance: str) -> bool:
-        """Tell whether an instance has ended for good and will never run again."""
+        """Return whether an instance has terminated for good and will never run again."""
         answer = await self._call(f"/platform/instances/{instance}", None)
         return bool(answer["state"] == "gone")
 
     async def workers(self) -> list[Worker]:
-        """Read the lagging report on workers."""
+        """Return the workers as the platform last saw them; the report is delayed."""
         answer = await self._call("/platform/workers", None)
         return [
             Worker(name, float(item["cores"]), float(item["used"]), bool(item["live"]))
@@ -53,7 +53,7 @@
         ]
 
     async def start_task(self, job: Job, cores: float, ttl: float) -> None:
-        """Start a job's present attempt under a lease; the same id never starts a second one."""
+        """Start a job's current attempt under a lease; the same id never starts a second one."""
         document = {
             "id": job.task_id,
             "job": job.job_id,
@@ -66,11 +66,11 @@
         await self._call("/platform/tasks/start", document)
 
     async def stop_task(self, task_id: str) -> None:
-        """Let a task make a checkpoint and end."""
+        """Make a task write a checkpoint and terminate."""
         await self._call("/platform/tasks/stop", {"id": task_id})
 
     async def tasks(self, ids: list[str], ttl: float) -> dict[str, TaskReport]:
-        """Report tasks and renew their leases; tasks the platform never heard of are missing."""
+        """Report on tasks and renew their leases; tasks unknown to the platform are missing."""
         answer = await self._call("/platform/tasks", {"ids": ids, "ttl": ttl})
         return {
             key: TaskReport(
@@ -80,10 +80,10 @@
         }
 
     async def reboot(self, operation: str, instance: str) -> bool:
-        """Ask for a reboot, or for how it went; True once it is done.
+        """Request a reboot or poll a requested one; return True once it is done.
 
-        The same id never starts a second reboot, so an unknown outcome is read back by asking
-        again.
+        The same id never starts a second reboot, so an unknown outcome is resolved by repeating
+        the call.
         """
         answer = await self._call("/platform/reboot", {"id": operation, "instance": instance})
         return bool(answer["state"] == "done")
--- a/vanillawell/transport/request_head.py
+++ b/vanillawell/transport/request_head.py
@@ -1,4 +1,4 @@
-"""Read what the head of a caller's request says."""
+"""Parse the head of a caller's request."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
     from vanillawell.transport.asgi import Scope
 
 IDEMPOTENT_METHODS = frozenset(("GET", "HEAD", "OPTIONS", "PUT", "DELETE"))
-"""Methods that may run twice without harm (RFC 9110 section 9.2.2)."""
+"""Methods whose requests may safely run twice (RFC 9110 section 9.2.2)."""
 
-LEAST_URGENT = 4
-"""Urgency (RFC 9218, 0 highest) from which on a request may wait behind all others."""
+DEFERRABLE_URGENCY = 4
+"""Urgency (RFC 9218, 0 is the highest) from which a request may wait behind all others."""
 
 DEFAULT_URGENCY = 3
-"""Urgency of a request that says nothing (RFC 9218)."""
+"""Urgency of a request that specifies none (RFC 9218)."""
 
 
 class RequestRefusedError(Exception):
-    """Carries a refusal out of a check."""
+    """A check refused the request; `refusal` is the answer."""
 
     def __init__(self, refusal: Refusal) -> None:
         super().__init__(refusal.reason.slug)
@@ -30,8 +30,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Head:
-    """What the head of a request says."""
+class RequestHead:
+    """Parsed head of a request."""
 
     method: str
     path: str
@@ -46,7 +46,7 @@
 
     @property
     def idempotent(self) -> bool:
-        """Tell whether the method allows running twice."""
+        """Return whether a request with this method may safely run twice."""
         return self.method in IDEMPOTENT_METHODS
 
     def bearer_key(self) -> str:
@@ -54,36 +54,38 @@
         scheme, _, key = self.headers.get(b"authorization", b"").decode("latin-1").partition(" ")
         return key.strip() if scheme.lower() == "bearer" else ""
 
-    def timeout(self, longest: float) -> float:
-        """Return the seconds the caller gives, at most `longest`."""
+    def timeout(self, maximum: float) -> float:
+        """Return the seconds that the caller allows, at most `maximum`."""
         text = self.headers.get(b"request-timeout")
         if text is None:
-            return longest
+            return maximum
         try:
             seconds = float(text)
         except ValueError:
             seconds = -1.0
         if not 0 < seconds < float("inf"):
-            raise refused(Reason.MALFORMED, "Request-Timeout must be a positive number of seconds")
-        return min(seconds, longest)
+            raise refusal_error(
+                Reason.MALFORMED, "Request-Timeout must be a positive number of seconds"
+            )
+        return min(seconds, maximum)
 
     def urgent(self) -> bool:
-        """Tell whether the request goes ahead of work that may wait (RFC 9218)."""
+        """Return whether the request goes ahead of less urgent ones (RFC 9218)."""
         parts = self.headers.get(b"priority", b"").replace(b" ", b"").split(b",")
         urgency = next((part[2:] for part in parts if part.startswith(b"u=")), b"")
-        return (int(urgency) if urgency.isdigit() else DEFAULT_URGENCY) < LEAST_URGENT
+        return (int(urgency) if urgency.isdigit() else DEFAULT_URGENCY) < DEFERRABLE_URGENCY
 
 
-def refused(
+def refusal_error(
     reason: Reason, detail: str = "", retry_after: float | None = None
 ) -> RequestRefusedError:
     """Build the error for a request that certainly did not run."""
     return RequestRefusedError(Refusal(reason, Verdict.NOT_RUN, detail, retry_after))
 
 
-def read_head(scope: Scope) -> Head:
+def read_head(scope: Scope) -> RequestHead:
     """Read the head of a request from its ASGI scope."""
     query = scope.get("query_string", b"")
     target = scope["raw_path"] + (b"?" + query if query else b"")
     raw = list(scope["headers"])
-    return Head(scope["method"], scope["path"], target, dict(raw), raw)
+    return RequestHead(scope["method"], scope["path"], target, dict(raw), raw)
--- a/vanillawell/transport/sockets.py
+++ b/vanillawell/transport/sockets.py
@@ -1,14 +1,14 @@
-"""Set socket options that bound how long a dead connection goes unnoticed."""
+"""Set socket options that limit how long a dead connection goes undetected."""
 
 from __future__ import annotations
 
 import socket
 
-UNACKNOWLEDGED_BOUND_MS = 5_000
+USER_TIMEOUT_MS = 5_000
 """Milliseconds that sent data may stay unacknowledged (TCP_USER_TIMEOUT, RFC 5482)."""
 
 KEEPALIVE_IDLE = 5
-"""Seconds of quiet before the kernel probes the other end."""
+"""Idle seconds before the kernel probes the other end."""
 
 KEEPALIVE_INTERVAL = 2
 """Seconds between two kernel probes."""
@@ -22,12 +22,12 @@
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE),
     (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL),
     (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
-    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_BOUND_MS),
+    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS),
 ]
-"""Options for every connection; a listening socket passes them on to what it accepts."""
+"""Options of every connection; accepted connections inherit them from the listening socket."""
 
 
 def apply_tcp_options(target: socket.socket) -> None:
-    """Set the options on a socket."""
+    """Set `TCP_OPTIONS` on a socket."""
     for level, option, value in TCP_OPTIONS:
         target.setsockopt(level, option, value)
--- a/vanillawell/transport/store_etcd.py
+++ b/vanillawell/transport/store_etcd.py
@@ -1,7 +1,7 @@
-"""Speak to the platform's store in the JSON gateway format of etcd v3.
+"""Call the platform's store in the JSON gateway format of etcd v3.
 
 Source: the etcd v3 API reference (rpc.proto) and its gRPC gateway mapping: 64-bit integers are
-JSON strings, bytes are base64, and fields with zero values are left out of answers.
+JSON strings, bytes are base64, and answers omit fields with zero values.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
     from vanillawell.config.settings import StoreSettings
 
 WATCH_READ_TIMEOUT = 3600.0
-"""Seconds a watch may be quiet; the version poll finds a silent one much earlier."""
+"""Seconds that a watch may receive nothing; the version poll detects a dead one much earlier."""
 
 
 def encode(text: str | bytes) -> str:
@@ -79,7 +79,7 @@
 
     @property
     def calls(self) -> int:
-        """Count the calls made so far, a watch as one."""
+        """Return the number of calls made so far; a watch counts as one."""
         return self._calls
 
     async def get(self, key: str) -> KeyValue | None:
@@ -111,12 +111,12 @@
         return int(answer["ID"])
 
     async def keep_alive(self, lease: int) -> bool:
-        """Renew a lease; False means that it has ended."""
+        """Renew a lease; return False if it has expired."""
         answer = await self._post("/v3/lease/keepalive", {"ID": str(lease)})
         return int(answer.get("result", {}).get("TTL", 0)) > 0
 
     async def revoke(self, lease: int) -> None:
-        """End a lease and delete its keys."""
+        """Revoke a lease, which deletes its keys."""
         await self._post("/v3/lease/revoke", {"ID": str(lease)})
 
     @asynccontextmanager
@@ -129,7 +129,7 @@
             async with self._client.pool.stream(
                 "POST",
                 self._client.url("/v3/watch"),
-                headers=await self._login(),
+                headers=await self._auth_headers(),
                 content=orjson.dumps({"create_request": create}),
                 extensions={"timeout": limits},
             ) as response:
@@ -137,10 +137,10 @@
         except (httpcore.NetworkError, httpcore.TimeoutException, httpcore.ProtocolError) as error:
             raise StoreUnavailableError(f"store: watch ended: {type(error).__name__}") from error
 
-    async def _login(self) -> Headers:
-        """Return the header that proves the store's user; raises StoreError.
+    async def _auth_headers(self) -> Headers:
+        """Return the header that authenticates the store's user; raises StoreError.
 
-        Source: etcd v3 authentication, where the gateway takes the token as it is.
+        Source: etcd v3 authentication; the gateway takes the token without a scheme name.
         """
         if not self._settings.user or not self._settings.password_file:
             return {}
@@ -159,18 +159,18 @@
         return str(answer["token"])
 
     async def _post(self, path: str, document: object) -> Any:
-        """Make a call as the store's user, once more with a new token if that was refused.
+        """Make a call as the store's user; repeat it once with a new token if it was refused.
 
-        Tokens end after some time or when the store restarts. The refusal proves that the call
-        had no effect, so repeating it cannot apply it twice.
+        Tokens expire after some time and when the store restarts. The refusal proves that the
+        call had no effect, so repeating it cannot apply it twice.
         """
         try:
-            return await self._send(path, document, await self._login())
+            return await self._send(path, document, await self._auth_headers())
         except StoreAccessError:
             if not self._token:
                 raise
             self._token = ""
-            return await self._send(path, document, await self._login())
+            return await self._send(path, document, await self._auth_headers())
 
     async def _send(self, path: str, document: object, headers: Headers) -> Any:
         self._calls += 1
@@ -211,7 +211,7 @@
 
 
 async def _changes(response: httpcore.Response) -> AsyncIterator[KeyValue]:
-    """Split a watch's stream of JSON lines into changed keys."""
+    """Parse a watch's stream of JSON lines into changed keys."""
     pending = b""
     async for chunk in response.aiter_stream():
         *lines, pending = (pending + chunk).split(b"\n")
--- a/vanillawell/transport/tls.py
+++ b/vanillawell/transport/tls.py
@@ -1,4 +1,4 @@
-"""Build TLS contexts from files, and follow the files when certificates are renewed."""
+"""Build TLS contexts from files, and reload the files when certificates are renewed."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
     from vanillawell.config.settings import ClientTls, ServerTls
     from vanillawell.telemetry import Telemetry
 
-LOOK_INTERVAL = 2.0
-"""Seconds between two looks at the files."""
+POLL_INTERVAL = 2.0
+"""Seconds between two checks of the files."""
 
-Stamp = tuple[tuple[int, int], ...]
-"""Time of change and size of each file."""
+FileVersions = tuple[tuple[int, int], ...]
+"""Modification time and size of each file."""
 
 
 def server_context(settings: ServerTls) -> ssl.SSLContext:
@@ -45,12 +45,12 @@
 
 
 class ServerIdentity:
-    """Own the context of one listening port, whose certificate can be renewed in place."""
+    """TLS context of one listening port, whose certificate can be renewed in place."""
 
     def __init__(self, key: str, settings: ServerTls) -> None:
         """Read the files; raises SettingsError that names `key`, the setting."""
         self._settings = settings
-        self._context = _checked(key, lambda: server_context(settings))
+        self._context = _build_context(key, lambda: server_context(settings))
 
     @property
     def context(self) -> ssl.SSLContext:
@@ -59,15 +59,15 @@
 
     @property
     def files(self) -> list[Path]:
-        """Return the files that it is made of."""
+        """Return the files from which the context is built."""
         found = (self._settings.certificate, self._settings.key, self._settings.client_authorities)
         return [path for path in found if path]
 
     def reload(self) -> None:
-        """Present the files' certificate from now on; raises OSError or ssl.SSLError.
+        """Reload the certificate for new connections; raises OSError or ssl.SSLError.
 
-        Files are renewed one after the other. A certificate read together with the key of the
-        one before would end all handshakes, so the pair is tried on a context of its own first.
+        The files are replaced one after the other. A new certificate loaded with the previous key
+        would fail all handshakes, so the pair is first tested on a context of its own.
         """
         server_context(self._settings)
         self._context.load_cert_chain(self._settings.certificate, self._settings.key)
@@ -76,30 +76,30 @@
 
 
 class ClientTrust:
-    """Own the context of outgoing connections of one kind; renewal makes a new one."""
+    """TLS context of outgoing connections of one kind; each reload builds a new one."""
 
     def __init__(self, key: str, settings: ClientTls) -> None:
         """Read the files; raises SettingsError that names `key`, the setting."""
         self._settings = settings
-        self._context = _checked(key, lambda: client_context(settings))
+        self._context = _build_context(key, lambda: client_context(settings))
 
     @property
     def context(self) -> ssl.SSLContext:
-        """Return the context to open the next connection with."""
+        """Return the context for the next connection."""
         return self._context
 
     @property
     def files(self) -> list[Path]:
-        """Return the files that it is made of."""
+        """Return the files from which the context is built."""
         found = (self._settings.authorities, self._settings.certificate, self._settings.key)
         return [path for path in found if path]
 
     def reload(self) -> None:
-        """Use the files as they are now; raises OSError or ssl.SSLError."""
+        """Build a new context from the files; raises OSError or ssl.SSLError."""
         self._context = client_context(self._settings)
 
 
-def _checked(key: str, build: Callable[[], ssl.SSLContext]) -> ssl.SSLContext:
+def _build_context(key: str, build: Callable[[], ssl.SSLContext]) -> ssl.SSLContext:
     try:
         return build()
     except (OSError, ssl.SSLError) as error:
@@ -118,32 +118,32 @@
         self._items = list(items)
         self._telemetry = telemetry
         self._reloaded = reloaded
-        self._seen = [_stamp(item.files) for item in self._items]
+        self._loaded_versions = [_file_versions(item.files) for item in self._items]
 
     async def run(self) -> None:
-        """Look at the files until cancelled."""
+        """Poll the files until cancelled."""
         while self._items:
-            await anyio.sleep(LOOK_INTERVAL)
+            await anyio.sleep(POLL_INTERVAL)
             for index, item in enumerate(self._items):
-                self._look_at(index, item)
+                self._check(index, item)
 
-    def _look_at(self, index: int, item: ServerIdentity | ClientTrust) -> None:
-        stamp = _stamp(item.files)
-        if stamp == self._seen[index]:
+    def _check(self, index: int, item: ServerIdentity | ClientTrust) -> None:
+        versions = _file_versions(item.files)
+        if versions == self._loaded_versions[index]:
             return
         name = f"certificate {item.files[0]}"
         try:
             item.reload()
         except (OSError, ssl.SSLError) as error:
-            # Half of a renewal: the files before it stay in force, and the next look tries again.
+            # The files may be half replaced: keep the previous certificate, retry at the next poll.
             self._telemetry.state(name, f"not usable: {error}", logging.WARNING)
             return
-        self._seen[index] = stamp
+        self._loaded_versions[index] = versions
         self._telemetry.certificate_reloads.inc({})
-        self._telemetry.state(name, f"reloaded, changed at {max(time for time, _ in stamp)}")
+        self._telemetry.state(name, f"reloaded, changed at {max(time for time, _ in versions)}")
         self._reloaded()
 
 
-def _stamp(files: Iterable[Path]) -> Stamp:
+def _file_versions(files: Iterable[Path]) -> FileVersions:
     found = (path.stat() if path.exists() else None for path in files)
     return tuple((item.st_mtime_ns, item.st_size) if item else (0, 0) for item in found)
