--- a/vanillawell/tests/certificates.py
+++ b/vanillawell/tests/certificates.py
@@ -1,4 +1,4 @@
-"""Make certificates for tests, by an authority of their own."""
+"""Issue certificates for tests from a certificate authority of their own."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
     from pathlib import Path
 
 
-class Certificates:
-    """A folder with an authority and certificates for IP numbers of the loopback."""
+class CertificateAuthority:
+    """Certificate authority that writes certificates for loopback addresses to a folder."""
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
         self._authority = trustme.CA()
-        self.authorities = folder / "authorities.pem"
-        self._authority.cert_pem.write_to_path(str(self.authorities))
+        self.certificate_file = folder / "authorities.pem"
+        self._authority.cert_pem.write_to_path(str(self.certificate_file))
 
-    def server(self, name: str, *hosts: str) -> dict[str, str]:
-        """Write a certificate and its key, over earlier ones of that name."""
-        made = self._authority.issue_cert(*hosts)
+    def issue(self, name: str, *hosts: str) -> dict[str, str]:
+        """Issue a certificate and write it with its key, replacing earlier files of that name."""
+        issued = self._authority.issue_cert(*hosts)
         certificate, key = self._folder / f"{name}.pem", self._folder / f"{name}.key"
-        certificate.write_bytes(b"".join(blob.bytes() for blob in made.cert_chain_pems))
-        made.private_key_pem.write_to_path(str(key))
+        certificate.write_bytes(b"".join(blob.bytes() for blob in issued.cert_chain_pems))
+        issued.private_key_pem.write_to_path(str(key))
         return {"certificate": str(certificate), "key": str(key)}
 
     @property
     def trust(self) -> dict[str, str]:
         """Return the settings of a client that trusts the authority."""
-        return {"authorities": str(self.authorities)}
+        return {"authorities": str(self.certificate_file)}
--- a/vanillawell/tests/machine_list_tests.py
+++ b/vanillawell/tests/machine_list_tests.py
@@ -1,4 +1,4 @@
-"""Prove that a list of machines that can't be read ends no owner."""
+"""Test that a malformed list of machines counts as a call without an answer."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from vanillawell.tests.scheduler_cluster import listen
 from vanillawell.transport.asgi import read_body, send_json
 
-SOUND = {"machine": "m-1", "pool": "p", "state": "up", "id": "i-1", "zone": "a"}
+VALID_MACHINE = {"machine": "m-1", "pool": "p", "state": "up", "id": "i-1", "zone": "a"}
 
 
 async def _list(content: Any) -> list[Machine] | NoAnswerError:
-    """Return what is read of a list, or why it can't be read."""
+    """Return the machines that the client reads from `content`, or its error."""
 
     async def answer(scope: Any, receive: Any, send: Any) -> None:
         await read_body(receive, 1_000)
@@ -35,8 +35,10 @@
     raise AssertionError("unreachable")
 
 
-def test_machines_are_listed_with_the_executors_on_them() -> None:
-    found = anyio.run(_list, {"machines": [SOUND, {**SOUND, "state": "down", "id": ""}]})
+def test_machines_are_listed_with_their_executors() -> None:
+    found = anyio.run(
+        _list, {"machines": [VALID_MACHINE, {**VALID_MACHINE, "state": "down", "id": ""}]}
+    )
     assert isinstance(found, list)
     assert [(item.state, item.executor) for item in found] == [
         (MachineState.UP, "i-1"),
@@ -46,9 +48,14 @@
 
 @pytest.mark.parametrize(
     "content",
-    [{}, [], {"machines": [{"machine": "m-1"}]}, {"machines": [{**SOUND, "state": "retired"}]}],
+    [
+        {},
+        [],
+        {"machines": [{"machine": "m-1"}]},
+        {"machines": [{**VALID_MACHINE, "state": "retired"}]},
+    ],
 )
 def test_a_malformed_list_counts_as_no_answer(content: Any) -> None:
-    """The service lists something that nobody expected. Whoever reads the list goes on without it;
-    an error that nobody catches would end the owner, and the next one's, too."""
+    """The service answers with an unexpected document. Callers of the client handle NoAnswerError
+    and continue without the list; any other error would terminate the owner and its successor."""
     assert isinstance(anyio.run(_list, content), NoAnswerError)
--- a/vanillawell/tests/platform_process.py
+++ b/vanillawell/tests/platform_process.py
@@ -12,8 +12,8 @@
 from pathlib import Path
 from typing import Self
 
-NOBODY = "127.0.0.1:9"
-"""Address at which nothing answers."""
+UNREACHABLE_ADDRESS = "127.0.0.1:9"
+"""Address at which no server answers."""
 
 
 def _free_address() -> str:
@@ -22,16 +22,16 @@
         return f"127.0.0.1:{probe.getsockname()[1]}"
 
 
-def settings(folder: Path, **bounds: float) -> Path:
-    """Write the settings of an entry that reaches no store; returns their file."""
+def write_settings(folder: Path, **bounds: float) -> Path:
+    """Write the settings of an entry that reaches no store; return the path of the file."""
     document = {
         "instance": "entry-0",
         "zone": "a",
         "caller": _free_address(),
         "ready": _free_address(),
         "metrics": _free_address(),
-        "store": NOBODY,
-        "machines": NOBODY,
+        "store": UNREACHABLE_ADDRESS,
+        "machines": UNREACHABLE_ADDRESS,
         "shortest_lease_ms": 1000,
         "bounds": {
             "lease_most_ms": 6000,
@@ -50,7 +50,7 @@
 
 
 class PlatformProcess:
-    """One process and the messages of its log."""
+    """A scheduler process and the messages of its log."""
 
     def __init__(self, path: Path) -> None:
         self._process = subprocess.Popen(
@@ -81,26 +81,26 @@
         self._process.send_signal(number)
 
     def has_logged(self, message: str) -> bool:
-        """Tell whether the log holds a message."""
+        """Return whether the log contains a message."""
         return any(message in line for line in self._lines)
 
     def has_loaded(self, library: str) -> bool:
-        """Tell whether it has loaded a library, by part of its file's name."""
+        """Return whether the process has loaded a library, given part of its file name."""
         return library in Path(f"/proc/{self._process.pid}/maps").read_text()
 
     def is_running(self) -> bool:
-        """Tell whether it has not ended."""
+        """Return whether the process is running."""
         return self._process.poll() is None
 
     def wait_for(self, message: str, seconds: float) -> None:
-        """Wait until the log holds a message; fails after `seconds`."""
-        bound = time.monotonic() + seconds
+        """Wait until the log contains a message; fail after `seconds`."""
+        deadline = time.monotonic() + seconds
         while not self.has_logged(message):
-            assert time.monotonic() < bound, f"no {message!r} in {self._lines}"
+            assert time.monotonic() < deadline, f"no {message!r} in {self._lines}"
             time.sleep(0.02)
 
-    def end(self, seconds: float) -> int:
-        """Wait until the process has ended; returns its exit code."""
+    def wait_for_exit(self, seconds: float) -> int:
+        """Wait until the process has exited and return its exit code."""
         code = self._process.wait(seconds)
         self._reader.join()
         return code
--- a/vanillawell/tests/standin_store_tests.py
+++ b/vanillawell/tests/standin_store_tests.py
@@ -1,4 +1,4 @@
-"""Prove that the stand-in of the store keeps what clients may rely on."""
+"""Test that the stand-in store keeps the guarantees on which clients rely."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from vanillawell.standins.scheduler.store import StandInStore
 from vanillawell.tests.scheduler_cluster import listen, until
 
-PREFIX = "told/"
+PREFIX = "watched/"
 KEY = f"{PREFIX}one"
 
-WAIT = 0.3
-"""Seconds that a call waits for changes."""
+WATCH_WAIT = 0.3
+"""Seconds for which a watch call waits for changes."""
 
 
-def test_a_change_as_a_waiting_call_ends_is_told() -> None:
-    """A key goes in the moment in which a call that waits for changes ends, as happens when the
-    process gets no processor for a while. An answer that names the newer revision without the
-    change hides it for good: candidates would never hear that a shard is free."""
+def test_a_change_at_the_end_of_a_watch_call_is_reported() -> None:
+    """A key is deleted at the moment in which a watch call ends, as happens when the process gets
+    no processor time for a while. An answer that carries the newer revision without the change
+    would hide it for good, and candidates would never learn that a shard is free."""
 
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
@@ -30,24 +30,26 @@
             store = PlatformStore(HttpClient(), listen(tasks, stand_in))
             after = (await store.list(PREFIX)).revision
             before = stand_in.calls
-            told: list[tuple[str, bytes | None]] = []
+            reported: list[tuple[str, bytes | None]] = []
 
-            async def follow() -> None:
-                first = await store.changes(PREFIX, after, WAIT)
-                second = await store.changes(PREFIX, first.revision, WAIT / 3)
-                told.extend((item.key, item.value) for item in (*first.changes, *second.changes))
+            async def watch() -> None:
+                first = await store.changes(PREFIX, after, WATCH_WAIT)
+                second = await store.changes(PREFIX, first.revision, WATCH_WAIT / 3)
+                reported.extend(
+                    (item.key, item.value) for item in (*first.changes, *second.changes)
+                )
 
-            async def change() -> None:
-                await anyio.sleep(WAIT / 3)
+            async def delete_key() -> None:
+                await anyio.sleep(WATCH_WAIT / 3)
                 stand_in.delete(KEY)
 
             async with anyio.create_task_group() as calls:
-                calls.start_soon(follow)
+                calls.start_soon(watch)
                 await until(lambda: stand_in.calls > before)
-                calls.start_soon(change)
+                calls.start_soon(delete_key)
                 await anyio.sleep(0.01)
-                time.sleep(2 * WAIT)
-            assert told == [(KEY, None)]
+                time.sleep(2 * WATCH_WAIT)
+            assert reported == [(KEY, None)]
             tasks.cancel_scope.cancel()
 
     anyio.run(run)
--- a/vanillawell/tests/startup_tests.py
+++ b/vanillawell/tests/startup_tests.py
@@ -1,4 +1,4 @@
-"""Start an entry when something that it needs is missing or taken."""
+"""Test the start of an entry when the store is unreachable or a port is taken."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
     from vanillawell.standins.fleet import Fleet
 
 
-def test_an_entry_waits_for_a_store_that_is_not_there_and_says_so_once(tmp_path: Path) -> None:
+def test_an_entry_waits_for_an_unreachable_store_and_logs_it_once(tmp_path: Path) -> None:
     """An entry starts during an outage of the store and knows no peer.
 
-    It must neither end nor fill its log, and serve as soon as the store is back.
+    It must neither exit nor flood its log, and must serve as soon as the store is back.
     """
     with running_fleet(tmp_path) as fleet:
         entry = fleet.entries["entry-1-1"]
@@ -27,22 +27,25 @@
         before = entry.process.log_text.count('"unreachable"')
         entry.process.start()
         wait_until(
-            lambda: entry.process.log_text.count('"unreachable"') == before + 1, "it says so"
+            lambda: entry.process.log_text.count('"unreachable"') == before + 1,
+            "the entry logs the outage",
         )
-        wait_until(lambda: send_one(entry, Call()).problem == "starting", "it refuses as not run")
-        tries = leases_asked_for(fleet)
-        wait_until(lambda: leases_asked_for(fleet) >= tries + 4, "it goes on trying")
+        wait_until(
+            lambda: send_one(entry, Call()).problem == "starting", "requests are refused as not run"
+        )
+        requests_before = lease_requests(fleet)
+        wait_until(lambda: lease_requests(fleet) >= requests_before + 4, "the entry keeps retrying")
         assert not entry.ready
         fleet.store_faults(down=False)
-        wait_until(lambda: send_one(entry, Call()).status == 200, "it serves")
+        wait_until(lambda: send_one(entry, Call()).status == 200, "the entry serves")
         assert entry.process.log_text.count('"unreachable"') == before + 1
 
 
-def leases_asked_for(fleet: Fleet) -> int:
+def lease_requests(fleet: Fleet) -> int:
     return int(fleet.store_counts()["calls"].get("lease/grant", 0))
 
 
-def test_a_taken_port_ends_the_start_with_one_clear_line(tmp_path: Path) -> None:
+def test_a_taken_port_stops_the_start_with_one_clear_error(tmp_path: Path) -> None:
     with running_fleet(tmp_path) as fleet:
         entry = fleet.entries["entry-1-1"]
         entry.process.kill()
@@ -57,18 +60,26 @@
         assert last.endswith("Address already in use")
 
 
-def test_a_restarted_entry_learns_from_seeds_while_the_store_is_down(tmp_path: Path) -> None:
-    """An entry is replaced during an outage; its settings name a peer to ask.
+def test_a_restarted_entry_gets_its_configuration_from_seeds_while_the_store_is_down(
+    tmp_path: Path,
+) -> None:
+    """An entry is replaced during an outage of the store; its settings name a peer as seed.
 
-    It learns the configuration from there, but holds no units of any limit, and says so.
+    It gets the configuration from the peer, but holds no units of any limit, and refuses requests
+    for that reason.
     """
     with running_fleet(tmp_path, entries_per_zone=2, seeded=True) as fleet:
         entry, other = fleet.entries["entry-1-2"], fleet.entries["entry-1-1"]
         entry.process.kill()
-        wait_until(lambda: other.status()["entries"] == 1, "the other one has forgotten it")
+        wait_until(
+            lambda: other.status()["entries"] == 1,
+            "the other entry no longer counts it as a member",
+        )
         fleet.store_faults(down=True)
         entry.process.start()
-        wait_until(lambda: entry.ready, "it has a configuration")
-        wait_until(lambda: send_one(entry, Call()).problem == "no-limit-units", "it holds nothing")
+        wait_until(lambda: entry.ready, "the entry has a configuration")
+        wait_until(
+            lambda: send_one(entry, Call()).problem == "no-limit-units", "the entry holds no units"
+        )
         fleet.store_faults(down=False)
-        wait_until(lambda: send_one(entry, Call()).status == 200, "it serves")
+        wait_until(lambda: send_one(entry, Call()).status == 200, "the entry serves")
