--- a/vanillawell/platform/http.py
+++ b/vanillawell/platform/http.py
@@ -93,9 +93,9 @@
     async def exchange(self, request: bytes, timeout: float) -> HttpAnswer:
         """Send a request and read its complete answer, which has to begin within `timeout` seconds.
 
-        Each part that arrives extends the deadline. A large answer that was abandoned midway and
-        requested again from its first byte would never arrive over a slow link. Raises
-        TimeoutError.
+        Each part that arrives extends the deadline, up to `MAX_ANSWER_DURATION`. A large answer
+        that was abandoned midway and requested again from its first byte would never arrive over a
+        slow link. Raises TimeoutError.
         """
         self.reusable = False
         answer = _Answer()
--- a/vanillawell/tests/stop_signal_tests.py
+++ b/vanillawell/tests/stop_signal_tests.py
@@ -25,7 +25,7 @@
     from vanillawell.tests.caller import Reply
 
 START_TIMEOUT = 20.0
-"""Seconds that a start may take on a busy machine."""
+"""Seconds to wait for a start or an exit on a busy machine."""
 
 STOPPING_SIGNALS = [signal.SIGHUP, signal.SIGTERM]
 """Signals that arrive while a process is already stopping."""
--- a/vanillawell/transport/caller.py
+++ b/vanillawell/transport/caller.py
@@ -333,7 +333,7 @@
     """Send a part of a large answer; raises CallerAbortError if the caller stops reading.
 
     A caller whose connection is dead accepts no data and never closes it. Without a timeout its
-    answer would hold an executor's slot and a unit of the organisation's limit for ever.
+    answer would hold an executor's slot and a unit of the organisation's limit indefinitely.
     """
     try:
         with anyio.fail_after(SEND_STALL_TIMEOUT):
--- a/vanillawell/transport/platform.py
+++ b/vanillawell/transport/platform.py
@@ -1,4 +1,4 @@
-"""Call the platform's interface: its delayed list of instances, workers, tasks and reboots.
+"""Call the platform's interface: its delayed lists of instances and workers, tasks and reboots.
 
 The interface belongs to the users' platform. Only this module and its stand-in know its paths, so
 that support for another platform takes one module.
--- a/vanillawell/transport/request_head.py
+++ b/vanillawell/transport/request_head.py
@@ -70,7 +70,7 @@
         return min(seconds, maximum)
 
     def urgent(self) -> bool:
-        """Return whether the request goes ahead of less urgent ones (RFC 9218)."""
+        """Return whether the request goes ahead of those that may wait (RFC 9218)."""
         parts = self.headers.get(b"priority", b"").replace(b" ", b"").split(b",")
         urgency = next((part[2:] for part in parts if part.startswith(b"u=")), b"")
         return (int(urgency) if urgency.isdigit() else DEFAULT_URGENCY) < DEFERRABLE_URGENCY
