--- a/vanillawell/platform/documents.py
+++ b/vanillawell/platform/documents.py
@@ -51,7 +51,7 @@
     model_config = ConfigDict(extra="ignore", strict=False)
 
 
-class _Resources(_PlatformDocument):
+class _Amounts(_PlatformDocument):
     cpu: Count = 0
     """Millicores."""
     memMb: Count = 0  # noqa: N815
@@ -94,7 +94,7 @@
     name: str
     apiKeys: list[str] = []  # noqa: N815
     weight: float = 1.0
-    maximum: _Resources = _Resources()
+    maximum: _Amounts = _Amounts()
 
 
 class _Limits(_PlatformDocument):
@@ -120,7 +120,7 @@
     remainingMs: Milliseconds | None = None  # noqa: N815
     """Minimum time left to a draining executor."""
     born: int = 0
-    capacity: _Resources
+    capacity: _Amounts
     labels: list[str] = []
     """Kind of the executor, then its rack."""
 
