--- a/vanillawell/tests/renewed_lease_tests.py
+++ b/vanillawell/tests/renewed_lease_tests.py
@@ -16,7 +16,7 @@
 )
 from vanillawell.exceptions import StoreOutcomeUnknownError
 from vanillawell.platform.http import HttpClient
-from vanillawell.platform.store import ANSWER_BOUND, PlatformStore
+from vanillawell.platform.store import STORE_CALL_TIMEOUT, PlatformStore
 from vanillawell.standins.scheduler.store import StandInStore
 from vanillawell.tests.scheduler_cluster import listen
 
@@ -45,8 +45,8 @@
         self.max_pending = max(self.max_pending, self.pending)
         try:
             delay = self.delays.pop(0) if self.delays else 0.0
-            await anyio.sleep(min(delay, ANSWER_BOUND))
-            if delay > ANSWER_BOUND:
+            await anyio.sleep(min(delay, STORE_CALL_TIMEOUT))
+            if delay > STORE_CALL_TIMEOUT:
                 raise StoreOutcomeUnknownError("lost by the test")
             return self.alive
         finally:
@@ -123,7 +123,7 @@
     store = ScriptedStore(delays=[NEVER] * 99)
 
     async def check(_lease: RenewedLease) -> None:
-        await anyio.sleep(TTL / RENEWALS_PER_TTL + 2 * ANSWER_BOUND)
+        await anyio.sleep(TTL / RENEWALS_PER_TTL + 2 * STORE_CALL_TIMEOUT)
 
     _renew_while(store, check)
     assert store.max_pending == MAX_PENDING_RENEWALS
@@ -168,12 +168,12 @@
             async with anyio.create_task_group() as readings:
                 for _ in range(3):
                     readings.start_soon(store.get, "key")
-            opened = http.opened
+            connections_opened = http.connections_opened
             stand_in.faults.lose_renewals = 1
             tasks.start_soon(lease.renew_until_ended)
             await anyio.sleep(TTL / RENEWALS_PER_TTL + RENEWAL_RETRY_DELAY + 0.2)
             assert stand_in.faults.lose_renewals == 0
-            assert http.opened == opened + 1
+            assert http.connections_opened == connections_opened + 1
             assert lease.is_held(granted + TTL + 0.1)
             tasks.cancel_scope.cancel()
 
