--- a/vanillawell/commands/context.py
+++ b/vanillawell/commands/context.py
@@ -10,7 +10,7 @@
 from functools import cached_property
 from pathlib import Path
 
-from vanillawell.commands.patient_store import PatientStore
+from vanillawell.commands.retrying_store import RetryingStore
 from vanillawell.config.settings import Address, ClientTls, StoreSettings
 from vanillawell.coordination.configuration_editor import ConfigurationEditor
 from vanillawell.exceptions import SettingsError
@@ -76,11 +76,11 @@
         return StoreKeys(self.prefix)
 
     @asynccontextmanager
-    async def connect(self) -> AsyncIterator[PatientStore]:
+    async def connect(self) -> AsyncIterator[RetryingStore]:
         """Open the store."""
-        async with PatientStore(self.store_settings()) as store:
+        async with RetryingStore(self.store_settings()) as store:
             yield store
 
-    def editor(self, store: PatientStore) -> ConfigurationEditor:
+    def editor(self, store: RetryingStore) -> ConfigurationEditor:
         """Return an editor that signs as the store's user, or else as the system's."""
         return ConfigurationEditor(store, self.keys, self.user or getpass.getuser())
--- a/vanillawell/commands/report.py
+++ b/vanillawell/commands/report.py
@@ -8,7 +8,7 @@
 import anyio
 
 from vanillawell.commands.printing import print_line, print_rows
-from vanillawell.commands.rollout import ASK_TIMEOUT, list_entries
+from vanillawell.commands.rollout import ADMIN_CALL_TIMEOUT, list_entries
 from vanillawell.config.effective import effective_value
 from vanillawell.exceptions import SettingsError
 from vanillawell.protocol.calls import NoAnswerError, NotSentError
@@ -74,7 +74,7 @@
 ) -> None:
     async with access.client(entry) as client:
         try:
-            lines = await client.get("/burn", ASK_TIMEOUT)
+            lines = await client.get("/burn", ADMIN_CALL_TIMEOUT)
         except (NotSentError, NoAnswerError):
             print_line(f"warning: {entry.instance} does not answer; its requests are missing")
             return
--- a/vanillawell/commands/patient_store.py
+++ b/vanillawell/commands/retrying_store.py
@@ -20,16 +20,16 @@
 """Seconds between two tries."""
 
 
-class PatientStore(EtcdStore):
+class RetryingStore(EtcdStore):
     """Repeat reads, which have no effect; writes are left to whoever knows what they mean."""
 
     async def get(self, key: str) -> KeyValue | None:
         """Read one key."""
-        return await _again(lambda: super(PatientStore, self).get(key))
+        return await _again(lambda: super(RetryingStore, self).get(key))
 
     async def list(self, prefix: str) -> Listing:
         """Read all keys that start with `prefix`."""
-        return await _again(lambda: super(PatientStore, self).list(prefix))
+        return await _again(lambda: super(RetryingStore, self).list(prefix))
 
 
 async def _again(read: Callable[[], Awaitable[Result]]) -> Result:
--- a/vanillawell/commands/rollout.py
+++ b/vanillawell/commands/rollout.py
@@ -26,7 +26,7 @@
 NAMED_AT_MOST = 5
 """Lagging entries named in a line of progress."""
 
-ASK_TIMEOUT = 1.0
+ADMIN_CALL_TIMEOUT = 1.0
 """Seconds an entry may take to answer."""
 
 
@@ -81,7 +81,7 @@
     async with access.client(entry) as client:
         while True:
             try:
-                status = await client.get("/status", ASK_TIMEOUT)
+                status = await client.get("/status", ADMIN_CALL_TIMEOUT)
             except (NotSentError, NoAnswerError):
                 status = {"version": 0}
             if status["version"] >= rollout.version:
--- a/vanillawell/commands/status.py
+++ b/vanillawell/commands/status.py
@@ -9,7 +9,7 @@
 
 from vanillawell.commands.context import OutputFormat
 from vanillawell.commands.printing import print_document, print_rows
-from vanillawell.commands.rollout import ASK_TIMEOUT, list_entries
+from vanillawell.commands.rollout import ADMIN_CALL_TIMEOUT, list_entries
 from vanillawell.protocol.calls import NoAnswerError, NotSentError
 
 if TYPE_CHECKING:
@@ -41,7 +41,7 @@
 async def _ask(access: AdminAccess, entry: Presence, statuses: dict[str, dict[str, Any]]) -> None:
     async with access.client(entry) as client:
         try:
-            statuses[entry.instance] = await client.get("/status", ASK_TIMEOUT)
+            statuses[entry.instance] = await client.get("/status", ADMIN_CALL_TIMEOUT)
         except (NotSentError, NoAnswerError):
             return
 
--- a/vanillawell/coordination/configuration.py
+++ b/vanillawell/coordination/configuration.py
@@ -56,6 +56,6 @@
         changes = configuration.limit_changes
         self._policy = compile_policy(configuration.tree, configuration.version, changes)
         self._tree = configuration.tree
-        self._telemetry.configuration.set({}, configuration.version)
-        self._telemetry.state("configuration", f"version {configuration.version}")
+        self._telemetry.configuration_version.set({}, configuration.version)
+        self._telemetry.log_state("configuration", f"version {configuration.version}")
         return True
--- a/vanillawell/coordination/dispatch.py
+++ b/vanillawell/coordination/dispatch.py
@@ -360,7 +360,7 @@
     def _note_failure(self, pool: PoolRuntime, executor: str, failure: Failure, now: float) -> None:
         sent = failure is not Failure.NOT_SENT
         if pool.health.record_failure(executor, now, len(pool.links), sent):
-            self._telemetry.ejected(executor, pool.policy.name)
+            self._telemetry.record_ejection(executor, pool.policy.name)
 
     def _retry_or_end(
         self, pool: PoolRuntime, ticket: Ticket, failure: Failure, now: float
--- a/vanillawell/coordination/document_sync.py
+++ b/vanillawell/coordination/document_sync.py
@@ -143,7 +143,7 @@
         """Take over a value that was read from the store."""
         self._revision = found.mod_revision
         if not self.apply(found.value) and found.value != self._document:
-            self._telemetry.state(f"{self._name} in the store", "older", logging.WARNING)
+            self._telemetry.log_state(f"{self._name} in the store", "older", logging.WARNING)
 
     async def _watch(self) -> None:
         while True:
--- a/vanillawell/coordination/limit_manager.py
+++ b/vanillawell/coordination/limit_manager.py
@@ -359,7 +359,7 @@
         units = usable_units(copy.ledger, self._holder, changes)
         bounds = [bound for bound in (copy.cap, copy.soft) if bound is not None]
         copy.usable = min([units, *bounds])
-        self._telemetry.held.set({"organisation": organisation}, units)
+        self._telemetry.units_held.set({"organisation": organisation}, units)
 
     def _set_soft_bound(self, organisation: str, demand: Demand) -> None:
         """Leave units to other entries step by step while the fleet wants more than the limit.
--- a/vanillawell/coordination/membership.py
+++ b/vanillawell/coordination/membership.py
@@ -211,10 +211,10 @@
         while True:
             try:
                 await self._renew()
-                self._telemetry.state("store", "reachable")
+                self._telemetry.log_state("store", "reachable")
                 await anyio.sleep(self._settings.lease_ttl / 3)
             except StoreError as error:
-                self._telemetry.state("store", "unreachable", logging.WARNING)
+                self._telemetry.log_state("store", "unreachable", logging.WARNING)
                 logging.getLogger(__name__).debug("store: %s", error)
                 await anyio.sleep(RETRY_PAUSE)
 
@@ -247,7 +247,7 @@
         self._me = replace(self._me, incarnation=uuid.uuid4().hex[:12])
         self._members[self._me.instance] = self._me
         self._lease = 0
-        self._telemetry.state("term", f"lapsed, now {self._me.incarnation}", logging.WARNING)
+        self._telemetry.log_state("term", f"lapsed, now {self._me.incarnation}", logging.WARNING)
         self._notify()
 
     async def _keep_list(self) -> None:
@@ -274,7 +274,7 @@
                     break
                 if gone:
                     self._ends.note_gone(instance, clock.read())
-                    self._telemetry.state(f"entry {instance}", "gone, says the platform")
+                    self._telemetry.log_state(f"entry {instance}", "gone, says the platform")
 
     async def _read_list(self) -> None:
         asked = clock.read()
--- a/vanillawell/coordination/peers.py
+++ b/vanillawell/coordination/peers.py
@@ -160,7 +160,7 @@
         silent = now - link.answered
         serves = silent <= self._interval() + TRIES_OFF_THE_LIST * self._timing.peer_timeout
         subject = f"link to {address.host}:{address.port}"
-        self._telemetry.state(subject, "kept off the list" if serves else "given up")
+        self._telemetry.log_state(subject, "kept off the list" if serves else "given up")
         return serves
 
     def push(self) -> None:
@@ -205,7 +205,7 @@
                         await self._beat_over(stream, address, link)
                 except BROKEN:
                     name = f"peer {address.host}:{address.port}"
-                    self._telemetry.state(name, "unreachable", logging.WARNING)
+                    self._telemetry.log_state(name, "unreachable", logging.WARNING)
                 await anyio.sleep(RECONNECT_PAUSE)
             self._close(address, link)
 
@@ -225,7 +225,7 @@
             link.answered = clock.read()
             # Not before: something in between may take connections and drop them at once, and each
             # try would log two changes.
-            self._telemetry.state(f"peer {address.host}:{address.port}", "connected")
+            self._telemetry.log_state(f"peer {address.host}:{address.port}", "connected")
             with anyio.move_on_after(self._interval()):
                 await push.wait()
 
--- a/vanillawell/coordination/role.py
+++ b/vanillawell/coordination/role.py
@@ -80,11 +80,11 @@
     while True:
         try:
             await act()
-            telemetry.state(name, "active")
+            telemetry.log_state(name, "active")
         except NotHolderError:
-            telemetry.state(name, "passive")
+            telemetry.log_state(name, "passive")
             entries = len(membership.members)
             await anyio.sleep(max(PASSIVE_PAUSE, entries / ENTRIES_PER_SECOND))
         except (StoreError, PlatformUnavailableError) as error:
-            telemetry.state(name, f"waiting: {error}", logging.WARNING)
+            telemetry.log_state(name, f"waiting: {error}", logging.WARNING)
         await anyio.sleep(PAUSE)
--- a/vanillawell/coordination/shard_owner.py
+++ b/vanillawell/coordination/shard_owner.py
@@ -47,10 +47,10 @@
     from vanillawell.coordination.term import Term
     from vanillawell.protocol.store import Listing
     from vanillawell.protocol.work_documents import WorkKeys
+    from vanillawell.scheduler_telemetry import SchedulerTelemetry
     from vanillawell.state.executors import Executor
     from vanillawell.state.work import Run
     from vanillawell.state.work_policy import Queue
-    from vanillawell.work_telemetry import WorkTelemetry
 
 log = logging.getLogger(__name__)
 
@@ -72,7 +72,7 @@
         keys: WorkKeys,
         settings: NodeSettings,
         policies: PolicyWatch,
-        telemetry: WorkTelemetry,
+        telemetry: SchedulerTelemetry,
     ) -> None:
         self._name = name
         self._term = term
--- a/vanillawell/entry.py
+++ b/vanillawell/entry.py
@@ -109,7 +109,7 @@
     async def run(self) -> None:
         """Serve until a signal asks for a planned stop, then stop without cutting a request."""
         stop = anyio.Event()
-        await self._tasks.start(signals.follow, stop)
+        await self._tasks.start(signals.handle_signals, stop)
         seeds = (PeerAddress(item.host, item.port) for item in self._settings.seeds)
         self._core.peers.add_seeds(seeds)
         for task in (
@@ -151,7 +151,7 @@
         sending until it notices. Then the listening socket closes, what was accepted ends, the
         units go back, and only then the presence.
         """
-        self._core.telemetry.state("entry", "stopping")
+        self._core.telemetry.log_state("entry", "stopping")
         self._admin_app.stop()
         self._caller_app.close_connections()
         await anyio.sleep(self._settings.timing.stop_notice)
@@ -166,7 +166,7 @@
                 await self._core.membership.leave()
             except StoreError as error:
                 log.warning("units left to their term", extra={"reason": str(error)})
-        self._core.telemetry.state("entry", "stopped")
+        self._core.telemetry.log_state("entry", "stopped")
 
 
 async def run_entry(settings: DaemonSettings) -> None:
--- a/vanillawell/logs.py
+++ b/vanillawell/logs.py
@@ -16,13 +16,13 @@
 STANDARD_FIELDS = frozenset(vars(logging.makeLogRecord({}))) | {"message", "asctime", "taskName"}
 """Attributes that every record has; all others are the event's own fields."""
 
-LONGEST_QUEUE = 2_000_000
+MAX_QUEUED_BYTES = 2_000_000
 """Bytes of lines that wait for a slow reader; more are dropped and counted."""
 
 FLUSH_INTERVAL = 0.05
 """Seconds between two writes: lines are written together, since each write has its price."""
 
-BUDGET = 400
+LINE_BUDGET = 400
 """Lines of one kind in a second; the busiest kinds reach some 200 under a five-fold peak."""
 
 DROPPED_FIELD = "dropped_before"
@@ -56,7 +56,7 @@
 class BudgetFilter(logging.Filter):
     """Let through a bounded number of lines of each kind in a second, and count the others."""
 
-    def __init__(self, budget: int = BUDGET) -> None:
+    def __init__(self, budget: int = LINE_BUDGET) -> None:
         super().__init__()
         self._budget = budget
         self._second = 0
@@ -105,7 +105,7 @@
         line = self.format(record).encode() + b"\n"
         self._lines.append(line)
         self._size += len(line)
-        while self._size > LONGEST_QUEUE and len(self._lines) > 1:
+        while self._size > MAX_QUEUED_BYTES and len(self._lines) > 1:
             self._size -= len(self._lines.popleft())
             self.dropped += 1
 
@@ -148,7 +148,7 @@
     )
 
 
-async def flush_regularly() -> None:
+async def flush_periodically() -> None:
     """Write queued lines until cancelled."""
     while True:
         await anyio.sleep(FLUSH_INTERVAL)
@@ -164,7 +164,7 @@
 
 
 def configure_queued(instance: str, level: str) -> None:
-    """Send all records of `level` and above to standard output; see `flush_regularly`."""
+    """Send all records of `level` and above to standard output; see `flush_periodically`."""
     global _handler
     _handler = NonBlockingHandler(sys.stdout.fileno())
     _handler.setFormatter(JsonFormatter(instance))
--- a/vanillawell/node.py
+++ b/vanillawell/node.py
@@ -17,7 +17,7 @@
 from vanillawell.coordination.term import Term, TermLostError
 from vanillawell.exceptions import StoreError
 from vanillawell.protocol.work_documents import WorkKeys
-from vanillawell.work_telemetry import WorkTelemetry
+from vanillawell.scheduler_telemetry import SchedulerTelemetry
 
 if TYPE_CHECKING:
     from vanillawell.config.node_settings import NodeSettings
@@ -60,7 +60,7 @@
         self._settings = settings
         self._ports = ports
         self._keys = WorkKeys()
-        self.telemetry = WorkTelemetry()
+        self.telemetry = SchedulerTelemetry()
         self._policies = PolicyWatch(
             ports.store, ports.documents.keys, ports.documents.policy, ports.documents.wave
         )
--- a/vanillawell/platform/callers.py
+++ b/vanillawell/platform/callers.py
@@ -28,8 +28,8 @@
 )
 
 if TYPE_CHECKING:
+    from vanillawell.scheduler_telemetry import SchedulerTelemetry
     from vanillawell.transport.asgi import Receive, Scope, Send
-    from vanillawell.work_telemetry import WorkTelemetry
 
 log = logging.getLogger(__name__)
 
@@ -37,7 +37,7 @@
 class CallerApp:
     """The ASGI application that callers' requests reach."""
 
-    def __init__(self, job_service: JobService, telemetry: WorkTelemetry) -> None:
+    def __init__(self, job_service: JobService, telemetry: SchedulerTelemetry) -> None:
         self._job_service = job_service
         self._telemetry = telemetry
 
--- a/vanillawell/platform/process.py
+++ b/vanillawell/platform/process.py
@@ -89,8 +89,8 @@
     listening = [listen(app, address, key) for key, (app, address) in apps.items()]
     stop = anyio.Event()
     async with anyio.create_task_group() as tasks:
-        await tasks.start(signals.follow, stop)
-        tasks.start_soon(logs.flush_regularly)
+        await tasks.start(signals.handle_signals, stop)
+        tasks.start_soon(logs.flush_periodically)
         for item in listening:
             tasks.start_soon(item.serve)
         tasks.start_soon(node.run)
--- a/vanillawell/work_telemetry.py
+++ b/vanillawell/scheduler_telemetry.py
@@ -7,7 +7,7 @@
 from vanillawell.telemetry import LATENCY_BUCKETS
 
 
-class WorkTelemetry:
+class SchedulerTelemetry:
     """Own all metrics of one scheduler process."""
 
     def __init__(self) -> None:
--- a/vanillawell/signals.py
+++ b/vanillawell/signals.py
@@ -15,11 +15,11 @@
 
 log = logging.getLogger(__name__)
 
-FOLLOWED = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
+HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 """Signals that are taken in; left alone, each of them would end the process at once."""
 
 
-async def follow(
+async def handle_signals(
     stop: anyio.Event, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED
 ) -> None:
     """Take signals until cancelled, and set `stop` once a planned stop is asked for.
@@ -28,12 +28,12 @@
     cancelled nothing is left to be done but to exit, so they are ignored from then on.
     """
     try:
-        with anyio.open_signal_receiver(*FOLLOWED) as signals:
+        with anyio.open_signal_receiver(*HANDLED_SIGNALS) as signals:
             task_status.started()
             async for number in signals:
                 _take(number, stop)
     finally:
-        for followed in FOLLOWED:
+        for followed in HANDLED_SIGNALS:
             signal.signal(followed, signal.SIG_IGN)
 
 
--- a/vanillawell/telemetry.py
+++ b/vanillawell/telemetry.py
@@ -55,14 +55,14 @@
         self.peer_bytes = self._counter(
             "vanillawell_peer_bytes_total", "Bytes exchanged with peers, by direction."
         )
-        self.configuration = self._gauge(
+        self.configuration_version = self._gauge(
             "vanillawell_configuration_version", "Configuration version in force here."
         )
-        self.freshness = self._gauge(
+        self.configuration_age = self._gauge(
             "vanillawell_configuration_age_seconds",
             "Seconds since the configuration was last confirmed as the newest one.",
         )
-        self.held = self._gauge(
+        self.units_held = self._gauge(
             "vanillawell_units_held",
             "Units of an organisation's limit held by this entry, by organisation.",
         )
@@ -74,13 +74,13 @@
     def _gauge(self, name: str, doc: str) -> Gauge:
         return Gauge(name, doc, registry=self.registry)
 
-    def state(self, subject: str, state: str, level: int = logging.INFO) -> None:
+    def log_state(self, subject: str, state: str, level: int = logging.INFO) -> None:
         """Log that `subject` is now in `state`, unless it already was."""
         if self._states.get(subject) != state:
             self._states[subject] = state
             log.log(level, "state changed", extra={"subject": subject, "state": state})
 
-    def ejected(self, executor: str, pool: str) -> None:
+    def record_ejection(self, executor: str, pool: str) -> None:
         """Count and log an ejection."""
         self.ejections.inc({"pool": pool})
         fields = {"subject": f"executor {executor}", "state": "ejected"}
--- a/vanillawell/tests/logs_tests.py
+++ b/vanillawell/tests/logs_tests.py
@@ -9,7 +9,13 @@
 import pytest
 
 from vanillawell.coordination import cycle_log
-from vanillawell.logs import BUDGET, DROPPED_FIELD, LONGEST_QUEUE, BudgetFilter, JsonFormatter
+from vanillawell.logs import (
+    DROPPED_FIELD,
+    LINE_BUDGET,
+    MAX_QUEUED_BYTES,
+    BudgetFilter,
+    JsonFormatter,
+)
 from vanillawell.logs import NonBlockingHandler as Handler
 from vanillawell.tests.scheduling_builders import ShardHarness, facts, job, step
 
@@ -24,7 +30,7 @@
     handler = Handler(writer)
     handler.setFormatter(JsonFormatter("entry-0"))
     began = time.monotonic()
-    lines = 2 * LONGEST_QUEUE // 1_000
+    lines = 2 * MAX_QUEUED_BYTES // 1_000
     for _ in range(lines):
         handler.emit(_record("x" * 1_000))
         handler.flush()
@@ -62,4 +68,4 @@
         cycle_log.log_started_tasks(runs, token=7)
     told = [row for record in caplog.records for row in record.__dict__["runs"]]
     assert len(told) == len(runs) == 1_000
-    assert len(caplog.records) < BUDGET / 10
+    assert len(caplog.records) < LINE_BUDGET / 10
--- a/vanillawell/transport/admin.py
+++ b/vanillawell/transport/admin.py
@@ -148,7 +148,9 @@
         return {"assignment": self._assignment.version, "running": running}
 
     async def _send_metrics(self, scope: Scope, send: Send) -> None:
-        self._telemetry.freshness.set({}, min(self._configuration.fresh_age(clock.read()), 1e9))
+        self._telemetry.configuration_age.set(
+            {}, min(self._configuration.fresh_age(clock.read()), 1e9)
+        )
         await send_metrics(self._telemetry.registry, scope, send)
 
     def status(self) -> EntryStatus:
--- a/vanillawell/transport/tls.py
+++ b/vanillawell/transport/tls.py
@@ -136,11 +136,11 @@
             item.reload()
         except (OSError, ssl.SSLError) as error:
             # Half of a renewal: the files before it stay in force, and the next look tries again.
-            self._telemetry.state(name, f"not usable: {error}", logging.WARNING)
+            self._telemetry.log_state(name, f"not usable: {error}", logging.WARNING)
             return
         self._seen[index] = stamp
         self._telemetry.certificate_reloads.inc({})
-        self._telemetry.state(name, f"reloaded, changed at {max(time for time, _ in stamp)}")
+        self._telemetry.log_state(name, f"reloaded, changed at {max(time for time, _ in stamp)}")
         self._reloaded()
 
 
