--- a/vanillawell/daemon.py
+++ b/vanillawell/daemon.py
@@ -1,4 +1,4 @@
-"""Start `vanillawelld`, the program on every entry instance."""
+"""Start `vanillawelld`, the daemon on every entry instance."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
 @app.command()
 def run(
-    settings_file: Annotated[Path, typer.Argument(help="Settings, JSON with comments.")],
+    settings_file: Annotated[Path, typer.Argument(help="Settings file, JSON with comments.")],
 ) -> None:
-    """Serve callers until SIGTERM, then stop without cutting a request."""
+    """Serve callers until SIGTERM, then stop without interrupting requests."""
     from vanillawell.entry import run_entry
 
     try:
@@ -35,7 +35,11 @@
 
 
 def main() -> None:
-    """Run the program; a reload needs nothing before it serves, and must not end it."""
+    """Run the daemon, ignoring SIGHUP until it handles signals.
+
+    A reload requested during start-up needs no action, but SIGHUP would end the process by
+    default.
+    """
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     app()
 
--- a/vanillawell/entry.py
+++ b/vanillawell/entry.py
@@ -1,4 +1,4 @@
-"""Put the tasks of one entry together and run them from start to planned stop."""
+"""Assemble the tasks of one entry process and run them until a planned stop."""
 
 from __future__ import annotations
 
@@ -32,15 +32,19 @@
 
 log = logging.getLogger(__name__)
 
-STOP_POLL = 0.02
-"""Seconds between two looks at whether all requests have ended during a planned stop."""
+STOP_POLL_INTERVAL = 0.02
+"""Seconds between two checks for unfinished requests during a planned stop."""
 
-STOP_STORE_BOUND = 2.0
-"""Seconds a planned stop waits for the store before it leaves its units to their term."""
+STOP_STORE_TIMEOUT = 2.0
+"""Seconds that a planned stop waits for the store; units not released by then stay held until
+their holding term ends."""
 
 
 class Listeners:
-    """Bind all addresses first, so that a taken one ends the start with a clear error."""
+    """Bind all listening addresses before the entry connects to the store.
+
+    An address that is already in use then ends start-up with a clear error.
+    """
 
     def __init__(self, settings: DaemonSettings) -> None:
         self.caller = _listen(settings.caller, "caller")
@@ -55,7 +59,7 @@
 
 
 class Entry:
-    """One running entry."""
+    """One running entry process."""
 
     def __init__(
         self,
@@ -68,11 +72,11 @@
         self._settings = settings
         self._listeners = listeners
         self._tasks = tasks
-        me = self._introduce()
-        self._core = core = EntryCore(settings, identity, me, store, tasks)
+        presence = self._own_presence()
+        self._core = core = EntryCore(settings, identity, presence, store, tasks)
         burn = BurnCounters()
         self._caller_app = CallerApp(
-            core.configuration, core.dispatcher, core.claims, core.telemetry, burn, me.holder
+            core.configuration, core.dispatcher, core.claims, core.telemetry, burn, presence.holder
         )
         self._admin_app = AdminApp(
             core.membership,
@@ -91,7 +95,7 @@
             identity.renewable, core.telemetry, core.dispatcher.renew_connections
         )
 
-    def _introduce(self) -> Presence:
+    def _own_presence(self) -> Presence:
         peer_host, peer_port = self._listeners.peer.getsockname()[:2]
         advertised = self._settings.peer_advertised
         if advertised:
@@ -107,7 +111,7 @@
         )
 
     async def run(self) -> None:
-        """Serve until a signal asks for a planned stop, then stop without cutting a request."""
+        """Serve until a signal requests a planned stop, then stop without interrupting requests."""
         stop = anyio.Event()
         await self._tasks.start(signals.handle_signals, stop)
         seeds = (PeerAddress(item.host, item.port) for item in self._settings.seeds)
@@ -133,8 +137,8 @@
         await self._stop(caller_done)
         self._tasks.cancel_scope.cancel()
 
-    async def _serve(self, running: QuietServer, listener: socket.socket) -> None:
-        await running.serve(sockets=[listener])
+    async def _serve(self, uvicorn_server: QuietServer, listener: socket.socket) -> None:
+        await uvicorn_server.serve(sockets=[listener])
 
     async def _serve_callers(self, done: anyio.Event) -> None:
         await self._serve(self._caller_server, self._listeners.caller)
@@ -145,11 +149,11 @@
         await listener.serve(self._core.peers.serve)
 
     async def _stop(self, caller_done: anyio.Event) -> None:
-        """Stop in the order that cuts nothing.
+        """Shut down in the order that interrupts no request.
 
-        Readiness goes off first while requests are still taken, since the balancer goes on
-        sending until it notices. Then the listening socket closes, what was accepted ends, the
-        units go back, and only then the presence.
+        Readiness goes off first while requests are still accepted, because the load balancer
+        keeps sending them until it notices. Then the listening socket closes, accepted requests
+        complete, limit units are released, and last the presence record is removed.
         """
         self._core.telemetry.log_state("entry", "stopping")
         self._admin_app.stop()
@@ -159,18 +163,18 @@
         self._caller_server.should_exit = True
         await caller_done.wait()
         while self._core.dispatcher.unfinished or self._core.claims.unfinished:
-            await anyio.sleep(STOP_POLL)
-        with anyio.move_on_after(STOP_STORE_BOUND):
+            await anyio.sleep(STOP_POLL_INTERVAL)
+        with anyio.move_on_after(STOP_STORE_TIMEOUT):
             try:
                 await self._core.limits.release_all()
                 await self._core.membership.leave()
             except StoreError as error:
-                log.warning("units left to their term", extra={"reason": str(error)})
+                log.warning("limit units not released", extra={"reason": str(error)})
         self._core.telemetry.log_state("entry", "stopped")
 
 
 async def run_entry(settings: DaemonSettings) -> None:
-    """Run one entry until it is asked to stop."""
+    """Run one entry until a signal requests a stop."""
     identity = Identity(settings)
     listeners = Listeners(settings)
     started = clock.read()
--- a/vanillawell/entry_core.py
+++ b/vanillawell/entry_core.py
@@ -1,4 +1,4 @@
-"""Put the parts of one entry together that follow, decide and dispatch."""
+"""Assemble the parts of one entry that sync documents, decide and dispatch."""
 
 from __future__ import annotations
 
@@ -38,26 +38,26 @@
 
 
 class EntryCore:
-    """Everything of one entry but its servers; each part learns of the others' changes here."""
+    """All parts of one entry except its servers, connected to react to each other's changes."""
 
     def __init__(
         self,
         settings: DaemonSettings,
         identity: Identity,
-        me: Presence,
+        presence: Presence,
         store: EtcdStore,
         tasks: TaskGroup,
     ) -> None:
         keys = StoreKeys(settings.store.prefix)
         timing = settings.timing
         self.telemetry = Telemetry()
-        rng = random.Random(me.incarnation)
-        self._board = DemandTable()
+        rng = random.Random(presence.incarnation)
+        self._demand_table = DemandTable()
         self._names = NameTable()
         address = settings.platform
         platform = PlatformClient(address, settings.admin.host) if address else None
         self.membership = Membership(
-            store, keys, me, settings.store, timing, self.telemetry, platform
+            store, keys, presence, settings.store, timing, self.telemetry, platform
         )
         self.configuration = ConfigurationSync(
             store, keys, self.membership, settings.store, self.telemetry
@@ -66,18 +66,18 @@
             store, keys, self.membership, settings.store, self.telemetry
         )
         self.limits = LimitManager(
-            store, keys, self.membership, self._board, timing, self.telemetry, rng
+            store, keys, self.membership, self._demand_table, timing, self.telemetry, rng
         )
-        self._static = StaticLimits(self.membership)
+        self._static_limits = StaticLimits(self.membership)
         ledger = settings.experiment.limits == "ledger"
         self.dispatcher = Dispatcher(
             tasks,
-            self.limits if ledger else self._static,
-            self._board,
+            self.limits if ledger else self._static_limits,
+            self._demand_table,
             self.telemetry,
             rng,
-            me.instance,
-            me.zone,
+            presence.instance,
+            presence.zone,
             functools.partial(ExecutorLink, dialer=Dialer(settings.caller.host, identity.backend)),
             timing.longest_request,
             settings.experiment,
@@ -90,7 +90,7 @@
                 DocumentKind.CONFIGURATION: self.configuration,
                 DocumentKind.ASSIGNMENT: self.assignment,
             },
-            self._board,
+            self._demand_table,
             timing,
             self.telemetry,
             TcpPeers(),
@@ -126,41 +126,41 @@
             lambda: self.dispatcher.dispatch_all(clock.read()),
             lambda: self.dispatcher.refuse_without_units(clock.read()),
         )
-        self.configuration.on_change(self._apply)
+        self.configuration.on_change(self._apply_configuration)
         self.assignment.on_change(self._apply_assignment)
         self.membership.on_change(self._apply_members)
 
-    def _apply(self) -> None:
+    def _apply_configuration(self) -> None:
         policy = self.configuration.policy
         assert policy is not None
         self._names = NameTable(
             policy.version, tuple(sorted(policy.pools)), tuple(sorted(policy.organisations))
         )
-        self._static.configure(policy)
+        self._static_limits.configure(policy)
         self.limits.configure(policy)
-        self._place()
+        self._configure_dispatcher()
         self.peers.push()
 
     def _apply_assignment(self) -> None:
-        self._place()
+        self._configure_dispatcher()
         self.peers.push()
 
     def _apply_members(self) -> None:
         self.peers.update_links()
-        self._place()
+        self._configure_dispatcher()
 
-    def _place(self) -> None:
-        """Tell the dispatcher which executors each pool has now."""
+    def _configure_dispatcher(self) -> None:
+        """Configure the dispatcher with the executors that each pool has now."""
         policy = self.configuration.policy
         if policy:
-            placed = place_executors(policy, self.assignment.assignment)
-            self.dispatcher.configure(placed, self._entry_names())
+            placed_policy = place_executors(policy, self.assignment.assignment)
+            self.dispatcher.configure(placed_policy, self._entry_names())
 
     def _entry_names(self) -> tuple[str, ...]:
         return tuple(sorted(self.membership.members))
 
     def _own_rows(self, now: float) -> Iterator[Row]:
-        """Return what other entries must know to divide full pools and scarce limits."""
+        """Yield the demand that other entries need to divide full pools and scarce limits."""
         entries = len(self.membership.members)
         policy = self.configuration.policy
         if policy is None:
@@ -172,8 +172,10 @@
         }
         for name, pool in self.dispatcher.pools.items():
             rows = pool.own_rows(now)
-            whole = sum(demand for _, demand, _ in rows)
-            pressed = is_significant(whole, len(pool.links) * pool.policy.slots, entries)
+            total_demand = sum(demand for _, demand, _ in rows)
+            is_contended = is_significant(
+                total_demand, len(pool.links) * pool.policy.slots, entries
+            )
             for organisation, demand, used in rows:
-                if pressed or organisation in scarce:
+                if is_contended or organisation in scarce:
                     yield Row(name, organisation, demand, used)
--- a/vanillawell/logs.py
+++ b/vanillawell/logs.py
@@ -1,4 +1,4 @@
-"""Write log records as JSON lines, bounded and without ever blocking the process."""
+"""Write log records as JSON lines, in bounded amounts and without blocking the process."""
 
 from __future__ import annotations
 
@@ -14,30 +14,31 @@
 import orjson
 
 STANDARD_FIELDS = frozenset(vars(logging.makeLogRecord({}))) | {"message", "asctime", "taskName"}
-"""Attributes that every record has; all others are the event's own fields."""
+"""Attributes that every record has; all others are fields of the event."""
 
 MAX_QUEUED_BYTES = 2_000_000
-"""Bytes of lines that wait for a slow reader; more are dropped and counted."""
+"""Bytes of lines queued for a slow reader; beyond this the oldest are dropped and counted."""
 
 FLUSH_INTERVAL = 0.05
-"""Seconds between two writes: lines are written together, since each write has its price."""
+"""Seconds between two writes; lines are written in batches, since each write has a fixed cost."""
 
 LINE_BUDGET = 400
-"""Lines of one kind in a second; the busiest kinds reach some 200 under a five-fold peak."""
+"""Lines with the same message per second; the most frequent messages reach about 200 when load
+peaks at five times its usual level."""
 
 DROPPED_FIELD = "dropped_before"
-"""Field that tells how many lines of this kind were left out since the last one."""
+"""Field with the number of lines of this message dropped since the last one that was written."""
 
 
 class JsonFormatter(logging.Formatter):
-    """Render a record as one JSON object with the event's fields beside the message."""
+    """Render a record as one JSON object, with the fields of the event beside the message."""
 
     def __init__(self, instance: str) -> None:
         super().__init__()
         self._instance = instance
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return the JSON line."""
+        """Return the record as a JSON line."""
         fields = {key: value for key, value in vars(record).items() if key not in STANDARD_FIELDS}
         stamp = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(record.created))
         document = {
@@ -54,7 +55,7 @@
 
 
 class BudgetFilter(logging.Filter):
-    """Let through a bounded number of lines of each kind in a second, and count the others."""
+    """Pass a bounded number of lines per message and second, and count those dropped."""
 
     def __init__(self, budget: int = LINE_BUDGET) -> None:
         super().__init__()
@@ -63,31 +64,31 @@
         self._counts: collections.Counter[str] = collections.Counter()
         self._dropped: collections.Counter[str] = collections.Counter()
         self.dropped = 0
-        """Lines left out so far."""
+        """Lines dropped so far because their message was over budget."""
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Tell whether a record is within the budget of its kind."""
+        """Return whether a record is within the budget of its message."""
         second = int(record.created)
         if second != self._second:
             self._second = second
             self._counts.clear()
-        kind = str(record.msg)
-        self._counts[kind] += 1
-        if self._counts[kind] > self._budget:
-            self._dropped[kind] += 1
+        message = str(record.msg)
+        self._counts[message] += 1
+        if self._counts[message] > self._budget:
+            self._dropped[message] += 1
             self.dropped += 1
             return False
-        missing = self._dropped.pop(kind, 0)
-        if missing:
-            setattr(record, DROPPED_FIELD, missing)
+        dropped_before = self._dropped.pop(message, 0)
+        if dropped_before:
+            setattr(record, DROPPED_FIELD, dropped_before)
         return True
 
 
 class NonBlockingHandler(logging.Handler):
-    """Collect lines and write them to a descriptor as far as it takes them.
+    """Queue lines and write them to a descriptor as fast as it accepts them.
 
-    Whoever reads the lines may stop reading. A blocking write would then stop every request; so
-    lines wait in a bounded queue and the oldest are dropped.
+    The reader of the lines may stop reading. A blocking write would then stall every request, so
+    lines wait in a bounded queue, and the oldest are dropped when it is full.
     """
 
     def __init__(self, descriptor: int) -> None:
@@ -96,7 +97,7 @@
         self._lines: collections.deque[bytes] = collections.deque()
         self._size = 0
         self.dropped = 0
-        """Lines dropped so far since nobody read them."""
+        """Lines dropped so far because the queue was full or a write failed."""
         os.set_blocking(descriptor, False)
         atexit.register(self.flush)
 
@@ -110,7 +111,7 @@
             self.dropped += 1
 
     def flush(self) -> None:
-        """Write what the reader takes now."""
+        """Write queued lines until the descriptor accepts no more."""
         while self._lines:
             data = self._take_chunk()
             try:
@@ -126,7 +127,7 @@
                 return
 
     def _take_chunk(self) -> bytes:
-        """Take as many whole lines as a pipe takes in one piece, or one longer line."""
+        """Dequeue as many whole lines as a pipe accepts in one atomic write, or one longer line."""
         chunk = [self._lines.popleft()]
         size = len(chunk[0])
         while self._lines and size + len(self._lines[0]) <= select.PIPE_BUF:
@@ -140,7 +141,7 @@
 
 
 def lines_dropped() -> int:
-    """Return the lines dropped so far, for want of a reader or beyond their budget."""
+    """Return the number of lines dropped so far, in the queue or because they were over budget."""
     if _handler is None:
         return 0
     return _handler.dropped + sum(
@@ -149,7 +150,7 @@
 
 
 async def flush_periodically() -> None:
-    """Write queued lines until cancelled."""
+    """Write queued lines at a fixed interval until cancelled."""
     while True:
         await anyio.sleep(FLUSH_INTERVAL)
         if _handler is not None:
@@ -164,7 +165,7 @@
 
 
 def configure_queued(instance: str, level: str) -> None:
-    """Send all records of `level` and above to standard output; see `flush_periodically`."""
+    """Queue records of `level` and above for `flush_periodically` to write to standard output."""
     global _handler
     _handler = NonBlockingHandler(sys.stdout.fileno())
     _handler.setFormatter(JsonFormatter(instance))
--- a/vanillawell/scheduler_telemetry.py
+++ b/vanillawell/scheduler_telemetry.py
@@ -1,4 +1,4 @@
-"""Count what the scheduler does."""
+"""Define the metrics of a scheduler process."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class SchedulerTelemetry:
-    """Own all metrics of one scheduler process."""
+    """All metrics of one scheduler process."""
 
     def __init__(self) -> None:
         self.registry = Registry()
--- a/vanillawell/signals.py
+++ b/vanillawell/signals.py
@@ -1,4 +1,4 @@
-"""Take the signals of a process from its start to its very end, so that none cuts it off."""
+"""Handle the signals of a process until it exits, so that none ends it early."""
 
 from __future__ import annotations
 
@@ -16,31 +16,31 @@
 log = logging.getLogger(__name__)
 
 HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
-"""Signals that are taken in; left alone, each of them would end the process at once."""
+"""Signals that are handled; by default, each of them would end the process at once."""
 
 
 async def handle_signals(
     stop: anyio.Event, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED
 ) -> None:
-    """Take signals until cancelled, and set `stop` once a planned stop is asked for.
+    """Handle signals until cancelled, and set `stop` when a planned stop is requested.
 
-    A process that stops serves for seconds more, in which signals go on coming. Once this is
-    cancelled nothing is left to be done but to exit, so they are ignored from then on.
+    A stopping process serves for some seconds more, during which further signals may arrive.
+    Once this task is cancelled the process only has to exit, so signals are ignored from then on.
     """
     try:
         with anyio.open_signal_receiver(*HANDLED_SIGNALS) as signals:
             task_status.started()
-            async for number in signals:
-                _take(number, stop)
+            async for received in signals:
+                _handle(received, stop)
     finally:
-        for followed in HANDLED_SIGNALS:
-            signal.signal(followed, signal.SIG_IGN)
+        for handled in HANDLED_SIGNALS:
+            signal.signal(handled, signal.SIG_IGN)
 
 
-def _take(number: signal.Signals, stop: anyio.Event) -> None:
-    """Take one signal; a reload needs nothing, since all that may change is followed."""
-    if number is signal.SIGHUP:
-        log.info("reload requested", extra={"outcome": "settings hold nothing that changes"})
+def _handle(received: signal.Signals, stop: anyio.Event) -> None:
+    """Handle one signal; a reload needs no action, since everything that may change is watched."""
+    if received is signal.SIGHUP:
+        log.info("reload requested", extra={"outcome": "no setting can change at run time"})
     elif stop.is_set():
         log.info("stop requested", extra={"outcome": "already stopping"})
     else:
--- a/vanillawell/telemetry.py
+++ b/vanillawell/telemetry.py
@@ -1,4 +1,4 @@
-"""Count what happens; a log line is written only when a state changes."""
+"""Record the metrics of an entry process, and log a state only when it changes."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 LATENCY_BUCKETS: Sequence[float] = (
     0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0
 )  # fmt: skip
-"""Upper bounds, in seconds, of the latency histogram."""
+"""Upper bounds of the latency histogram's buckets, in seconds."""
 
 
 class Telemetry:
-    """Own all metrics of one process."""
+    """All metrics of one entry process."""
 
     def __init__(self) -> None:
         self.registry = Registry()
@@ -66,18 +66,18 @@
             "vanillawell_units_held",
             "Units of an organisation's limit held by this entry, by organisation.",
         )
-        self._states: dict[str, str] = {}
+        self._logged_states: dict[str, str] = {}
 
-    def _counter(self, name: str, doc: str) -> Counter:
-        return Counter(name, doc, registry=self.registry)
+    def _counter(self, name: str, help_text: str) -> Counter:
+        return Counter(name, help_text, registry=self.registry)
 
-    def _gauge(self, name: str, doc: str) -> Gauge:
-        return Gauge(name, doc, registry=self.registry)
+    def _gauge(self, name: str, help_text: str) -> Gauge:
+        return Gauge(name, help_text, registry=self.registry)
 
     def log_state(self, subject: str, state: str, level: int = logging.INFO) -> None:
-        """Log that `subject` is now in `state`, unless it already was."""
-        if self._states.get(subject) != state:
-            self._states[subject] = state
+        """Log that `subject` is now in `state`, unless that is its last logged state."""
+        if self._logged_states.get(subject) != state:
+            self._logged_states[subject] = state
             log.log(level, "state changed", extra={"subject": subject, "state": state})
 
     def record_ejection(self, executor: str, pool: str) -> None:
