--- a/vanillawell/cli.py
+++ b/vanillawell/cli.py
@@ -1,4 +1,4 @@
-"""Declare the operators' commands; each imports its work when it runs."""
+"""Declare the operators' commands; each imports its implementation only when it runs."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 key_app = typer.Typer(no_args_is_help=True, help="Grant and withdraw organisation keys.")
 maintenance_app = typer.Typer(no_args_is_help=True, help="Run maintenance waves.")
 pool_app = typer.Typer(no_args_is_help=True, help="Move instances between pools.")
-job_app = typer.Typer(no_args_is_help=True, help="Run work that may wait.")
+job_app = typer.Typer(no_args_is_help=True, help="Submit and list deferrable jobs.")
 report_app = typer.Typer(no_args_is_help=True, help="Report on service levels.")
 settings_app = typer.Typer(no_args_is_help=True, help="Check daemon settings.")
 app.add_typer(config_app, name="config")
@@ -31,47 +31,55 @@
 app.add_typer(report_app, name="report")
 app.add_typer(settings_app, name="settings")
 
-WaitOption = Annotated[bool, typer.Option("--wait", help="Wait until all entries confirm.")]
-WaitBound = Annotated[float, typer.Option(help="Seconds to wait at most.")]
-DryRun = Annotated[bool, typer.Option("--dry-run", help="Check and show, change nothing.")]
-Note = Annotated[str, typer.Option(help="Why, kept in the history.")]
-Base = Annotated[int | None, typer.Option(help="Version the change was made from.")]
+WaitOption = Annotated[
+    bool, typer.Option("--wait", help="Wait until all entries confirm the change.")
+]
+WaitBoundOption = Annotated[float, typer.Option(help="Maximum seconds to wait.")]
+DryRunOption = Annotated[
+    bool, typer.Option("--dry-run", help="Check and show the change without applying it.")
+]
+NoteOption = Annotated[str, typer.Option(help="Reason for the change, kept in the history.")]
+BaseOption = Annotated[int | None, typer.Option(help="Version that the change is based on.")]
 
 
 @app.callback()
 def prepare(
     context: typer.Context,
     store: Annotated[
-        str, typer.Option(envvar="VANILLAWELL_STORE", help="The store, as IP:PORT.")
+        str, typer.Option(envvar="VANILLAWELL_STORE", help="Address of the store, as IP:PORT.")
     ] = "127.0.0.1:2379",
     prefix: Annotated[str, typer.Option(envvar="VANILLAWELL_PREFIX")] = "/vanillawell",
-    output: Annotated[OutputFormat, typer.Option(help="How to print results.")] = (
+    output: Annotated[OutputFormat, typer.Option(help="Format of the results.")] = (
         OutputFormat.TABLE
     ),
     store_user: Annotated[
-        str, typer.Option(envvar="VANILLAWELL_STORE_USER", help="User of the store.")
+        str, typer.Option(envvar="VANILLAWELL_STORE_USER", help="User name for the store.")
     ] = "",
     store_password_file: Annotated[
         Path | None, typer.Option(envvar="VANILLAWELL_STORE_PASSWORD_FILE")
     ] = None,
     store_tls: Annotated[
-        bool, typer.Option("--store-tls", envvar="VANILLAWELL_STORE_TLS", help="Reach it by TLS.")
+        bool,
+        typer.Option(
+            "--store-tls", envvar="VANILLAWELL_STORE_TLS", help="Connect to the store over TLS."
+        ),
     ] = False,
     authorities: Annotated[
         Path | None,
         typer.Option(
             envvar="VANILLAWELL_AUTHORITIES",
-            help="PEM file that certificates of entries' admin ports (and the store) come from.",
+            help="PEM file with the authorities for the certificates of admin ports and store.",
         ),
     ] = None,
     admin_token_file: Annotated[
         Path | None,
         typer.Option(
-            envvar="VANILLAWELL_ADMIN_TOKEN_FILE", help="File with the admin ports' secret."
+            envvar="VANILLAWELL_ADMIN_TOKEN_FILE",
+            help="File with the access token of the admin ports.",
         ),
     ] = None,
 ) -> None:
-    """Take the options that all commands share."""
+    """Collect the options that all commands share."""
     context.obj = CommandContext(
         store,
         prefix,
@@ -111,18 +119,20 @@
 @app.command("explain")
 def explain(
     context: typer.Context,
-    files: Annotated[list[Path], typer.Argument(help="Logs of all processes.", exists=True)],
+    files: Annotated[list[Path], typer.Argument(help="Log files of all processes.", exists=True)],
     request: Annotated[
         str, typer.Option("--id", help="Id of a job or request, or name of a task.")
     ] = "",
-    day: Annotated[bool, typer.Option("--day", help="Count all jobs by cause instead.")] = False,
+    day: Annotated[
+        bool, typer.Option("--day", help="Count jobs by cause instead of explaining one.")
+    ] = False,
 ) -> None:
-    """Tell from logs why a job was refused, late or lost time."""
+    """Show from logs why a job was refused, finished late or lost time."""
     from vanillawell.commands.explain import explain as explain_one
     from vanillawell.commands.explain import explain_all
 
     if day == bool(request):
-        raise typer.BadParameter("give either --id or --day")
+        raise typer.BadParameter("exactly one of --id and --day is required")
     if day:
         explain_all(files, context.obj.output)
     else:
@@ -132,7 +142,7 @@
 @report_app.command("burn")
 def report_burn(
     context: typer.Context,
-    plot: Annotated[Path | None, typer.Option(help="Also draw it to this file.")] = None,
+    plot: Annotated[Path | None, typer.Option(help="Also write a plot to this file.")] = None,
 ) -> None:
     """Show error budget burn. Example: vanillawell report burn --plot burn.png."""
     from vanillawell.commands.report import burn
@@ -144,13 +154,13 @@
 def config_push(
     context: typer.Context,
     file: Path,
-    base: Base = None,
-    note: Note = "",
+    base: BaseOption = None,
+    note: NoteOption = "",
     wait: WaitOption = False,
-    wait_bound: WaitBound = 30.0,
-    dry_run: DryRun = False,
+    wait_bound: WaitBoundOption = 30.0,
+    dry_run: DryRunOption = False,
 ) -> None:
-    """Make a file the configuration. Example: vanillawell config push tree.jsonc --wait."""
+    """Apply a file as configuration. Example: vanillawell config push tree.jsonc --wait."""
     from vanillawell.commands.config import PushOptions, push_file
 
     push_file(context.obj, file, PushOptions(base, note, wait, wait_bound, dry_run))
@@ -166,7 +176,7 @@
 
 @config_app.command("history")
 def config_history(context: typer.Context) -> None:
-    """List the versions that are kept."""
+    """List the stored versions."""
     from vanillawell.commands.config import history
 
     history(context.obj)
@@ -174,7 +184,7 @@
 
 @config_app.command("compare")
 def config_compare(context: typer.Context, before: int, after: int) -> None:
-    """Show what differs between two versions."""
+    """Show the differences between two versions."""
     from vanillawell.commands.config import compare
 
     compare(context.obj, before, after)
@@ -184,12 +194,12 @@
 def config_restore(
     context: typer.Context,
     version: int,
-    note: Note = "",
+    note: NoteOption = "",
     wait: WaitOption = False,
-    wait_bound: WaitBound = 30.0,
-    dry_run: DryRun = False,
+    wait_bound: WaitBoundOption = 30.0,
+    dry_run: DryRunOption = False,
 ) -> None:
-    """Put an earlier version's tree in force as a new version."""
+    """Apply the tree of an earlier version as a new version."""
     from vanillawell.commands.config import PushOptions, restore
 
     restore(context.obj, version, PushOptions(None, note, wait, wait_bound, dry_run))
@@ -204,7 +214,7 @@
     service: Annotated[str | None, typer.Option(help="Service that a pool runs.")] = None,
     settings: Annotated[list[str] | None, typer.Option("--set", help="KEY=VALUE")] = None,
     wait: WaitOption = False,
-    dry_run: DryRun = False,
+    dry_run: DryRunOption = False,
 ) -> None:
     """Add a node. Example: vanillawell node create guild --kind organisation --set limit=40."""
     from vanillawell.commands.config import PushOptions
@@ -219,9 +229,11 @@
 def node_set(
     context: typer.Context,
     name: str,
-    settings: Annotated[list[str], typer.Argument(help="KEY=VALUE; null inherits again.")],
+    settings: Annotated[
+        list[str], typer.Argument(help="KEY=VALUE; null restores the inherited value.")
+    ],
     wait: WaitOption = False,
-    dry_run: DryRun = False,
+    dry_run: DryRunOption = False,
 ) -> None:
     """Change settings of a node. Example: vanillawell node set guild limit=60 share=2."""
     from vanillawell.commands.config import PushOptions
@@ -232,9 +244,9 @@
 
 @node_app.command("remove")
 def node_remove(
-    context: typer.Context, name: str, wait: WaitOption = False, dry_run: DryRun = False
+    context: typer.Context, name: str, wait: WaitOption = False, dry_run: DryRunOption = False
 ) -> None:
-    """Remove a node that no other one descends from."""
+    """Remove a node that has no descendants."""
     from vanillawell.commands.config import PushOptions
     from vanillawell.commands.nodes import remove
 
@@ -245,7 +257,7 @@
 def key_grant(
     context: typer.Context, organisation: str, key_id: str, wait: WaitOption = False
 ) -> None:
-    """Make a key and print it once. Example: vanillawell key grant guild 2026-12."""
+    """Create a key and print it once. Example: vanillawell key grant guild 2026-12."""
     from vanillawell.commands.config import PushOptions
     from vanillawell.commands.nodes import grant_key
 
@@ -267,7 +279,9 @@
 def maintenance_start(
     context: typer.Context,
     pool: Annotated[list[str] | None, typer.Option(help="Only this pool; may be repeated.")] = None,
-    wait: Annotated[bool, typer.Option("--wait", help="Follow the wave to its end.")] = False,
+    wait: Annotated[
+        bool, typer.Option("--wait", help="Print progress until the wave completes.")
+    ] = False,
 ) -> None:
     """Reboot every instance once. Example: vanillawell maintenance start --wait."""
     from vanillawell.commands.maintenance import start
@@ -277,7 +291,7 @@
 
 @maintenance_app.command("pause")
 def maintenance_pause(context: typer.Context) -> None:
-    """Begin no further step; those under way end."""
+    """Pause the wave: begin no further steps; those in progress complete."""
     from vanillawell.commands.maintenance import set_state
     from vanillawell.state.pools import WaveState
 
@@ -286,7 +300,7 @@
 
 @maintenance_app.command("resume")
 def maintenance_resume(context: typer.Context) -> None:
-    """Go on with a paused wave."""
+    """Resume a paused wave."""
     from vanillawell.commands.maintenance import set_state
     from vanillawell.state.pools import WaveState
 
@@ -296,9 +310,11 @@
 @maintenance_app.command("status")
 def maintenance_status(
     context: typer.Context,
-    wait: Annotated[bool, typer.Option("--wait", help="Follow the wave to its end.")] = False,
+    wait: Annotated[
+        bool, typer.Option("--wait", help="Print progress until the wave completes.")
+    ] = False,
 ) -> None:
-    """Show the wave and every instance that is not serving at home."""
+    """Show the wave and every instance that is not serving in its home pool."""
     from vanillawell.commands.maintenance import show
 
     show(context.obj, wait)
@@ -309,9 +325,9 @@
     context: typer.Context,
     organisation: str,
     kind: str,
-    core_seconds: Annotated[float, typer.Option(help="Declared amount of work.")],
-    within: Annotated[float, typer.Option(help="Seconds until it must be done.")],
-    cores: Annotated[float, typer.Option(help="Declared processors.")] = 1.0,
+    core_seconds: Annotated[float, typer.Option(help="Declared amount of work in core-seconds.")],
+    within: Annotated[float, typer.Option(help="Seconds until the job must be done.")],
+    cores: Annotated[float, typer.Option(help="Declared number of cores.")] = 1.0,
 ) -> None:
     """Add a job. Example: job submit guild rebuild --core-seconds 7200 --within 28800."""
     from vanillawell.commands.jobs import submit
@@ -332,12 +348,12 @@
     context: typer.Context,
     instance: str,
     pool: str,
-    address: Annotated[str, typer.Option(help="IP:PORT where it takes requests.")],
+    address: Annotated[str, typer.Option(help="IP:PORT on which the instance accepts requests.")],
     zone: Annotated[str, typer.Option()],
     rack: Annotated[str, typer.Option()],
     wait: WaitOption = False,
 ) -> None:
-    """Add an instance to a pool's home list."""
+    """Add an instance to its home pool."""
     from vanillawell.commands.config import PushOptions
     from vanillawell.commands.nodes import add_instance
 
@@ -346,14 +362,14 @@
 
 @pool_app.command("move")
 def pool_move(context: typer.Context, instance: str, pool: str) -> None:
-    """Drain an instance and put it in another pool. Example: pool move spare-1 pool-check."""
+    """Drain an instance and move it to another pool. Example: pool move spare-1 pool-check."""
     from vanillawell.commands.maintenance import move
 
     move(context.obj, instance, pool)
 
 
 def main() -> None:
-    """Run the program; user errors end as one clear line and an exit status by kind."""
+    """Run the command line; an error ends it with one line and the exit status of its kind."""
     try:
         app()
     except VanillawellError as error:
--- a/vanillawell/commands/__init__.py
+++ b/vanillawell/commands/__init__.py
@@ -1,1 +1,1 @@
-"""Hold one module for each operator command."""
+"""Implement the operators' commands, one module for each group."""
--- a/vanillawell/commands/config.py
+++ b/vanillawell/commands/config.py
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PushOptions:
-    """How a change is to be made."""
+    """Options of a configuration change."""
 
     base: int | None = None
     note: str = ""
@@ -35,13 +35,13 @@
 
 
 def push_file(context: CommandContext, path: Path, options: PushOptions) -> None:
-    """Make a file the configuration in force."""
+    """Apply a file as the configuration in force."""
     tree = load_model(path, OperatorTree)
     apply_change(context, lambda _: tree, options)
 
 
 def apply_change(context: CommandContext, change: Change, options: PushOptions) -> None:
-    """Check a change, print what differs and, unless it is a dry run, put it in force."""
+    """Check a change, print the differences and, unless it is a dry run, apply it."""
     anyio.run(_apply_change, context, change, options)
 
 
@@ -113,7 +113,7 @@
 
 
 def history(context: CommandContext) -> None:
-    """Print all versions that are kept."""
+    """Print all stored versions."""
     anyio.run(_history, context)
 
 
@@ -134,7 +134,7 @@
 
 
 def compare(context: CommandContext, before: int, after: int) -> None:
-    """Print what differs between two versions."""
+    """Print the differences between two versions."""
     anyio.run(_compare, context, before, after)
 
 
@@ -148,7 +148,7 @@
 
 
 def restore(context: CommandContext, number: int, options: PushOptions) -> None:
-    """Put the tree of an earlier version in force again, as a new version."""
+    """Apply the tree of an earlier version as a new version."""
     anyio.run(_restore, context, number, options)
 
 
--- a/vanillawell/commands/context.py
+++ b/vanillawell/commands/context.py
@@ -1,4 +1,4 @@
-"""Hold what every operator command needs: where the store is, who asks, how to print."""
+"""Provide the connections and output options that all operator commands share."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class OutputFormat(StrEnum):
-    """How results are printed."""
+    """Format in which results are printed."""
 
     TABLE = "table"
     JSON = "json"
@@ -35,17 +35,22 @@
     prefix: str
     output: OutputFormat
     user: str = ""
-    """User of the store; empty if it asks for none."""
+    """User name for the store; empty if the store requires none."""
 
     password_file: Path | None = None
     authorities: Path | None = None
-    """Authorities of the certificates of the store and of admin ports; None for plain HTTP."""
+    """PEM file with the authorities for the certificates of the store and the admin ports; None for
+    plain HTTP."""
 
     store_by_tls: bool = False
     admin_token_file: Path | None = None
 
     def store_settings(self) -> StoreSettings:
-        """Return the store's settings; raises SettingsError for a malformed address."""
+        """Return the settings of the store.
+
+        Raises:
+            SettingsError: The address is malformed.
+        """
         host, _, port = self.store.rpartition(":")
         try:
             address = Address(host=host, port=int(port))
@@ -65,22 +70,22 @@
 
     @cached_property
     def access(self) -> AdminAccess:
-        """Return how the entries' admin ports are reached."""
+        """Return the token and trust settings for the entries' admin ports."""
         token = read_secret(self.admin_token_file, "--admin-token-file")
         trust = ClientTrust("--authorities", self._tls) if self._tls else None
         return AdminAccess(token, trust)
 
     @property
     def keys(self) -> StoreKeys:
-        """Return the names of the store's keys."""
+        """Return the keys of the store under the prefix."""
         return StoreKeys(self.prefix)
 
     @asynccontextmanager
     async def connect(self) -> AsyncIterator[RetryingStore]:
-        """Open the store."""
+        """Connect to the store for as long as the context is open."""
         async with RetryingStore(self.store_settings()) as store:
             yield store
 
     def editor(self, store: RetryingStore) -> ConfigurationEditor:
-        """Return an editor that signs as the store's user, or else as the system's."""
+        """Return an editor that records the store's user, or else the system's, as the author."""
         return ConfigurationEditor(store, self.keys, self.user or getpass.getuser())
--- a/vanillawell/commands/explain.py
+++ b/vanillawell/commands/explain.py
@@ -1,4 +1,4 @@
-"""Explain what became of a job or a request, from the logs of all processes."""
+"""Explain the outcome of a job or a request from the logs of all processes."""
 
 from __future__ import annotations
 
@@ -24,37 +24,37 @@
 
 
 def explain(request: str, files: Sequence[Path], output: OutputFormat) -> None:
-    """Print the life of one job in order, and what was decisive."""
-    story = find_timeline(group_by_job(read_lines(_texts(files))), request)
-    if story is None:
+    """Print the events of one job in order, and the causes of its outcome."""
+    timeline = find_timeline(group_by_job(read_lines(_raw_lines(files))), request)
+    if timeline is None:
         raise NotInLogsError(f"{request}: no line of these logs names it")
-    rows = [_row(line, story.lines[0].at) for line in story.lines]
+    rows = [_row(line, timeline.lines[0].at) for line in timeline.lines]
     if output.value == "json":
-        late = story.late_by
+        late_by = timeline.late_by
         print_document(
             {
-                "job": story.job_id,
-                "outcome": story.outcome,
-                "late_by": late,
-                "causes": story.causes(),
+                "job": timeline.job_id,
+                "outcome": timeline.outcome,
+                "late_by": late_by,
+                "causes": timeline.causes(),
                 "events": rows,
             }
         )
         return
-    print_rows(rows, output, f"job {story.job_id}")
-    print_line(_verdict(story))
+    print_rows(rows, output, f"job {timeline.job_id}")
+    print_line(_summary(timeline))
 
 
 def explain_all(files: Sequence[Path], output: OutputFormat) -> None:
-    """Print how many jobs were refused or late, by cause."""
-    rows = summarise(group_by_job(read_lines(_texts(files))).values())
+    """Print how many jobs were refused, late or failed, by cause."""
+    rows = summarise(group_by_job(read_lines(_raw_lines(files))).values())
     if not rows:
         print_line("no job was refused, late or failed")
         return
     print_rows(rows, output, "jobs that were not served in time")
 
 
-def _texts(files: Sequence[Path]) -> Iterator[str]:
+def _raw_lines(files: Sequence[Path]) -> Iterator[str]:
     for path in files:
         try:
             yield from path.read_text(encoding="utf-8", errors="replace").splitlines()
@@ -64,9 +64,9 @@
 
 def _row(line: LogLine, start: float) -> dict[str, Any]:
     details = {key: value for key, value in line.fields.items() if key != "job"}
-    moment = datetime.fromtimestamp(line.at, UTC).strftime("%H:%M:%S.%f")[:-3]
+    time_of_day = datetime.fromtimestamp(line.at, UTC).strftime("%H:%M:%S.%f")[:-3]
     return {
-        "time": moment,
+        "time": time_of_day,
         "after s": f"{line.at - start:.3f}",
         "instance": line.instance,
         "event": line.message,
@@ -74,10 +74,10 @@
     }
 
 
-def _verdict(story: JobTimeline) -> str:
-    late = story.late_by
-    text = f"{story.job_id}: {story.outcome}"
-    if late is not None:
-        text += f", {abs(late):.3f} s {'after' if late > 0 else 'before'} its objective"
-    causes = story.causes()
+def _summary(timeline: JobTimeline) -> str:
+    late_by = timeline.late_by
+    text = f"{timeline.job_id}: {timeline.outcome}"
+    if late_by is not None:
+        text += f", {abs(late_by):.3f} s {'after' if late_by > 0 else 'before'} its objective"
+    causes = timeline.causes()
     return f"{text}; {'; '.join(causes)}" if causes else text
--- a/vanillawell/commands/jobs.py
+++ b/vanillawell/commands/jobs.py
@@ -1,4 +1,4 @@
-"""Submit and show work that may wait."""
+"""Submit and show deferrable jobs."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
     from vanillawell.commands.context import CommandContext
     from vanillawell.protocol.store import Store
 
-TRIES = 20
-"""Tries against a job runner that writes at the same time."""
+MAX_TRIES = 20
+"""Maximum number of tries while the job runner writes to the same document."""
 
 
 def submit(
     context: CommandContext, organisation: str, kind: str, work: float, cores: float, within: float
 ) -> None:
-    """Add a job that must be done within some seconds."""
+    """Add a job that must be done within `within` seconds."""
     if work <= 0 or cores <= 0 or within <= 0:
         raise SettingsError("--core-seconds, --cores and --within must be above 0")
     job_id = f"{kind}-{uuid.uuid4().hex[:8]}"
@@ -38,21 +38,24 @@
         current = await context.editor(store).current()
         if current is None or job.organisation not in current.tree.of_kind("organisation"):
             raise SettingsError(f"no organisation is named {job.organisation!r}")
-        for _ in range(TRIES):
+        for _ in range(MAX_TRIES):
             if await _try_submit(context, store, job):
                 return
-    raise ConflictError("the job runner kept changing the jobs; run again")
+    raise ConflictError("the job runner kept changing the jobs; run the command again")
 
 
 async def _try_submit(context: CommandContext, store: Store, job: Job) -> bool:
-    """Make one try; a job that is already there was added by a try whose answer was lost."""
+    """Try once to add a job, and return whether it is stored.
+
+    A job that is already stored was added by an earlier try whose answer was lost.
+    """
     key = context.keys.jobs
-    found = await store.get(key)
-    book = JobRegistry.from_bytes(found.value) if found else JobRegistry()
-    if job.job_id in book.jobs:
+    stored = await store.get(key)
+    registry = JobRegistry.from_bytes(stored.value) if stored else JobRegistry()
+    if job.job_id in registry.jobs:
         return True
-    compare = Compare(key, found.mod_revision if found else 0)
-    put = Put(key, book.with_job(job).to_bytes())
+    compare = Compare(key, stored.mod_revision if stored else 0)
+    put = Put(key, registry.with_job(job).to_bytes())
     try:
         result = await store.transact(Transaction(compares=[compare], puts=[put]))
     except StoreOutcomeUnknownError:
@@ -67,8 +70,8 @@
 
 async def _show(context: CommandContext) -> None:
     async with context.connect() as store:
-        found = await store.get(context.keys.jobs)
-    book = JobRegistry.from_bytes(found.value) if found else JobRegistry()
+        stored = await store.get(context.keys.jobs)
+    registry = JobRegistry.from_bytes(stored.value) if stored else JobRegistry()
     rows = [
         {
             "job": job.job_id,
@@ -80,6 +83,6 @@
             "finish_in": round(job.finish_by - time.time()),
             "error": job.error or "-",
         }
-        for job in sorted(book.jobs.values(), key=lambda item: item.finish_by)
+        for job in sorted(registry.jobs.values(), key=lambda item: item.finish_by)
     ]
     print_rows(rows, context.output)
--- a/vanillawell/commands/maintenance.py
+++ b/vanillawell/commands/maintenance.py
@@ -1,4 +1,4 @@
-"""Start, pause and follow maintenance waves, and show or change where instances are."""
+"""Start, pause and monitor maintenance waves, and show or change the pools of instances."""
 
 from __future__ import annotations
 
@@ -21,30 +21,30 @@
     from vanillawell.config.tree import OperatorTree
     from vanillawell.protocol.store import Store
 
-TRIES = 10
-"""Tries against a planner that writes at the same time."""
+MAX_TRIES = 10
+"""Maximum number of tries while the planner writes to the same document."""
 
-FOLLOW_PAUSE = 0.5
-"""Seconds between two looks at a wave that is followed."""
+PROGRESS_POLL_INTERVAL = 0.5
+"""Seconds between two reads of a wave whose progress is printed."""
 
 
 def start(context: CommandContext, pools: list[str], wait: bool) -> None:
-    """Begin a wave over all instances, or over those of some pools."""
+    """Start a wave over all instances, or over those of the given pools."""
 
     def edit(assignment: Assignment, tree: OperatorTree) -> Assignment:
         if assignment.wave.state in (WaveState.RUNNING, WaveState.PAUSED):
             raise SettingsError(f"wave {assignment.wave.wave_id} is still {assignment.wave.state}")
-        chosen = pools or list(tree.of_kind("pool"))
-        unknown = [name for name in chosen if name not in tree.of_kind("pool")]
+        selected = pools or list(tree.of_kind("pool"))
+        unknown = [name for name in selected if name not in tree.of_kind("pool")]
         if unknown:
             raise SettingsError(f"no pool is named {unknown[0]!r}")
-        names = tuple(sorted(name for pool in chosen for name in tree.nodes[pool].instances))
+        names = tuple(sorted(name for pool in selected for name in tree.nodes[pool].instances))
         wave = Wave(f"wave-{uuid.uuid4().hex[:8]}", WaveState.RUNNING, names)
         return replace(assignment, wave=wave)
 
     anyio.run(_change, context, edit)
     if wait:
-        anyio.run(_follow, context)
+        anyio.run(_print_progress, context)
 
 
 def set_state(context: CommandContext, state: WaveState) -> None:
@@ -52,14 +52,14 @@
 
     def edit(assignment: Assignment, tree: OperatorTree) -> Assignment:
         if assignment.wave.state not in (WaveState.RUNNING, WaveState.PAUSED):
-            raise SettingsError("no wave is under way")
+            raise SettingsError("no wave is in progress")
         return replace(assignment, wave=replace(assignment.wave, state=state))
 
     anyio.run(_change, context, edit)
 
 
 def move(context: CommandContext, instance: str, pool: str) -> None:
-    """Move an instance to another pool for good, once budgets allow and it is drained."""
+    """Move an instance permanently to another pool, once budgets allow and it is drained."""
 
     def edit(assignment: Assignment, tree: OperatorTree) -> Assignment:
         homes = {name: p for p, n in tree.of_kind("pool").items() for name in n.instances}
@@ -82,41 +82,41 @@
         configuration = await context.editor(store).current()
         if configuration is None:
             raise SettingsError("no configuration is in force yet")
-        for _ in range(TRIES):
+        for _ in range(MAX_TRIES):
             changed = await _try_change(context, store, configuration.tree, edit)
             if changed:
                 print_document({"version": changed.version, "wave": changed.wave.wave_id})
                 return
-    raise ConflictError("the planner kept changing the assignment; run again")
+    raise ConflictError("the planner kept changing the assignment; run the command again")
 
 
 async def _try_change(
     context: CommandContext, store: Store, tree: OperatorTree, edit: Callable[..., Assignment]
 ) -> Assignment | None:
-    """Make one try; an answer that was lost is settled by reading back."""
+    """Try once to write a change; if the answer is lost, read back whether it was written."""
     key = context.keys.assignment
-    found = await store.get(key)
-    before = Assignment.from_bytes(found.value) if found else Assignment()
+    stored = await store.get(key)
+    before = Assignment.from_bytes(stored.value) if stored else Assignment()
     changed = replace(edit(before, tree), version=before.version + 1)
-    compare = Compare(key, found.mod_revision if found else 0)
+    compare = Compare(key, stored.mod_revision if stored else 0)
     document = changed.to_bytes()
     try:
         put = Put(key, document)
         result = await store.transact(Transaction(compares=[compare], puts=[put]))
         return changed if result.succeeded else None
     except StoreOutcomeUnknownError:
-        now = await store.get(key)
-        return changed if now and now.value == document else None
+        read_back = await store.get(key)
+        return changed if read_back and read_back.value == document else None
 
 
 def show(context: CommandContext, wait: bool) -> None:
-    """Print the wave and every instance that is not serving at home."""
-    anyio.run(_follow if wait else _show, context)
+    """Print the wave and every instance that is not serving in its home pool."""
+    anyio.run(_print_progress if wait else _show, context)
 
 
 async def _read(context: CommandContext, store: Store) -> Assignment:
-    found = await store.get(context.keys.assignment)
-    return Assignment.from_bytes(found.value) if found else Assignment()
+    stored = await store.get(context.keys.assignment)
+    return Assignment.from_bytes(stored.value) if stored else Assignment()
 
 
 async def _show(context: CommandContext) -> None:
@@ -143,25 +143,25 @@
 
 
 def _rows(assignment: Assignment) -> list[dict[str, object]]:
-    """Return every instance that is not serving at home."""
+    """Return a row for every instance that is not serving in its home pool."""
     return [
         {"instance": name, "pool": item.pool, "phase": item.phase, "target": item.target or "-"}
         for name, item in sorted(assignment.placements.items())
     ]
 
 
-async def _follow(context: CommandContext) -> None:
-    """Print progress until the wave is done."""
-    shown = -1
+async def _print_progress(context: CommandContext) -> None:
+    """Print progress until the wave is done or there is none."""
+    printed_done = -1
     async with context.connect() as store:
         while True:
             assignment = await _read(context, store)
             wave = assignment.wave
-            if len(wave.done) != shown:
-                shown = len(wave.done)
-                print_line(f"{wave.wave_id}: {shown} done, {len(wave.remaining)} remaining")
+            if len(wave.done) != printed_done:
+                printed_done = len(wave.done)
+                print_line(f"{wave.wave_id}: {printed_done} done, {len(wave.remaining)} remaining")
             if wave.state in (WaveState.DONE, WaveState.NONE):
                 if context.output is OutputFormat.JSON:
                     print_document(_document(assignment))
                 return
-            await anyio.sleep(FOLLOW_PAUSE)
+            await anyio.sleep(PROGRESS_POLL_INTERVAL)
--- a/vanillawell/commands/nodes.py
+++ b/vanillawell/commands/nodes.py
@@ -25,10 +25,10 @@
 
 
 def parse_settings(assignments: Sequence[str]) -> dict[str, Any]:
-    """Read KEY=VALUE pairs; `null` as a value stands for inherited."""
+    """Parse KEY=VALUE pairs; the value `null` restores the inherited value."""
     pairs = [text.partition("=") for text in assignments]
-    for key, sign, _ in pairs:
-        if not sign:
+    for key, separator, _ in pairs:
+        if not separator:
             raise SettingsError(f"{key}: expected KEY=VALUE")
         if key not in ScopedSettings.model_fields:
             nearest = difflib.get_close_matches(key, ScopedSettings.model_fields, n=1)
@@ -54,7 +54,7 @@
 
     def change(tree: OperatorTree) -> OperatorTree:
         if name in tree.nodes:
-            raise SettingsError(f"a node named {name!r} is already there")
+            raise SettingsError(f"a node named {name!r} already exists")
         document: dict[str, Any] = {"kind": kind, "parent": parent, "settings": settings}
         if service:
             document["service"] = service
@@ -81,11 +81,11 @@
     context: CommandContext,
     pool: str,
     name: str,
-    place: tuple[str, str, str],
+    location: tuple[str, str, str],
     options: PushOptions,
 ) -> None:
-    """Add an instance to a pool; `place` is its address, zone and rack."""
-    address, zone, rack = place
+    """Add an instance to a pool; `location` is its address, zone and rack."""
+    address, zone, rack = location
     host, _, port = address.rpartition(":")
     document = {"address": {"host": host, "port": port}, "zone": zone, "rack": rack}
     instance = validate(document, Instance, name)
@@ -100,7 +100,7 @@
     """Remove a node."""
 
     def change(tree: OperatorTree) -> OperatorTree:
-        _require(tree, name)
+        _require_node(tree, name)
         nodes = {key: node for key, node in tree.nodes.items() if key != name}
         return tree.model_copy(update={"nodes": nodes})
 
@@ -110,7 +110,7 @@
 def grant_key(
     context: CommandContext, organisation: str, key_id: str, options: PushOptions
 ) -> None:
-    """Make a new key for an organisation and print it; it cannot be shown again."""
+    """Create a key for an organisation and print it; it cannot be shown again."""
     secret = f"vw-{secrets.token_urlsafe(KEY_BYTES)}"
     key = Key(sha256=hashlib.sha256(secret.encode()).hexdigest())
 
@@ -142,13 +142,13 @@
     context: CommandContext, name: str, update: Callable[[Node], Node], options: PushOptions
 ) -> None:
     def change(tree: OperatorTree) -> OperatorTree:
-        _require(tree, name)
+        _require_node(tree, name)
         return _with_node(tree, name, update(tree.nodes[name]))
 
     apply_change(context, change, options)
 
 
-def _require(tree: OperatorTree, name: str) -> None:
+def _require_node(tree: OperatorTree, name: str) -> None:
     if name not in tree.nodes:
         nearest = difflib.get_close_matches(name, tree.nodes, n=1)
         hint = f"; did you mean {nearest[0]!r}?" if nearest else ""
--- a/vanillawell/commands/printing.py
+++ b/vanillawell/commands/printing.py
@@ -16,7 +16,7 @@
 
 
 def print_rows(rows: Sequence[dict[str, Any]], output: OutputFormat, title: str = "") -> None:
-    """Print rows that share their keys."""
+    """Print rows that all have the same keys."""
     if output is OutputFormat.JSON:
         print_document(list(rows))
         return
@@ -34,5 +34,5 @@
 
 
 def print_line(text: str) -> None:
-    """Print one line for people, apart from results."""
+    """Print one line for operators to standard error, separate from results."""
     sys.stderr.write(text + "\n")
--- a/vanillawell/commands/reference.py
+++ b/vanillawell/commands/reference.py
@@ -1,4 +1,4 @@
-"""Write the settings reference from the typed classes, so that it cannot drift."""
+"""Generate the settings reference from the typed classes, so that the two cannot diverge."""
 
 from __future__ import annotations
 
--- a/vanillawell/commands/report.py
+++ b/vanillawell/commands/report.py
@@ -1,4 +1,4 @@
-"""Report how fast error budgets burn, from the entries' own counts."""
+"""Report the burn rates of error budgets from the counts that entries keep."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BurnRow:
-    """One line of the report."""
+    """One row of the report."""
 
     service: str
     organisation: str
@@ -37,14 +37,14 @@
 
 
 def burn(context: CommandContext, plot: Path | None) -> None:
-    """Print burn by service and organisation over five minutes and an hour; optionally plot it."""
+    """Print burn rates by service and organisation over both windows, and plot them on request."""
     rows = anyio.run(_collect, context)
     if plot:
         _plot(rows, plot)
-    print_rows([_shown(row) for row in rows], context.output, "Error budget burn")
+    print_rows([_printed_row(row) for row in rows], context.output, "Error budget burn")
 
 
-def _shown(row: BurnRow) -> dict[str, Any]:
+def _printed_row(row: BurnRow) -> dict[str, Any]:
     return {
         "service": row.service,
         "organisation": row.organisation,
@@ -65,27 +65,27 @@
     totals: dict[tuple[str, str], WindowCounts] = {}
     async with anyio.create_task_group() as tasks:
         for entry in entries:
-            tasks.start_soon(_ask, context.access, entry, totals)
-    return [_row(current.tree, *key, counts) for key, counts in sorted(totals.items())]
+            tasks.start_soon(_fetch_counts, context.access, entry, totals)
+    return [_burn_row(current.tree, *key, counts) for key, counts in sorted(totals.items())]
 
 
-async def _ask(
+async def _fetch_counts(
     access: AdminAccess, entry: Presence, totals: dict[tuple[str, str], WindowCounts]
 ) -> None:
     async with access.client(entry) as client:
         try:
             lines = await client.get("/burn", ADMIN_CALL_TIMEOUT)
         except (NotSentError, NoAnswerError):
-            print_line(f"warning: {entry.instance} does not answer; its requests are missing")
+            print_line(f"warning: {entry.instance} did not answer; its requests are not counted")
             return
     for line in lines:
         key = (line.pop("service"), line.pop("organisation"))
         totals[key] = totals.get(key, WindowCounts()) + WindowCounts(**line)
 
 
-def _row(tree: OperatorTree, service: str, organisation: str, counts: WindowCounts) -> BurnRow:
-    known = organisation in tree.nodes
-    objective = effective_value(tree, organisation if known else "fleet", "objective").value
+def _burn_row(tree: OperatorTree, service: str, organisation: str, counts: WindowCounts) -> BurnRow:
+    is_in_tree = organisation in tree.nodes
+    objective = effective_value(tree, organisation if is_in_tree else "fleet", "objective").value
     return BurnRow(
         service,
         organisation,
@@ -98,20 +98,27 @@
 
 
 def _plot(rows: list[BurnRow], path: Path) -> None:
-    """Draw both windows side by side; needs the `plots` extra."""
+    """Plot the burn rates of both windows; needs the `plots` extra."""
     try:
         import matplotlib.pyplot as plt
     except ImportError as error:
         raise SettingsError("--plot needs matplotlib: install vanillawell[plots]") from error
     names = [f"{row.service} · {row.organisation}" for row in rows]
-    places = range(len(rows))
+    positions = range(len(rows))
     figure, axes = plt.subplots(figsize=(8, 1.5 + 0.35 * len(rows)))
-    axes.barh([place - 0.2 for place in places], [row.burn_5m for row in rows], 0.4, label="5 min")
-    axes.barh([place + 0.2 for place in places], [row.burn_1h for row in rows], 0.4, label="1 h")
-    axes.set_yticks(list(places), names)
+    axes.barh(
+        [position - 0.2 for position in positions],
+        [row.burn_5m for row in rows],
+        0.4,
+        label="5 min",
+    )
+    axes.barh(
+        [position + 0.2 for position in positions], [row.burn_1h for row in rows], 0.4, label="1 h"
+    )
+    axes.set_yticks(list(positions), names)
     axes.invert_yaxis()
     axes.axvline(1.0, color="grey", linestyle="--")
-    axes.set_xlabel("error budget burn (1 = used up just in time)")
+    axes.set_xlabel("error budget burn rate (1 = budget lasts exactly its period)")
     axes.legend()
     figure.tight_layout()
     figure.savefig(path)
--- a/vanillawell/commands/retrying_store.py
+++ b/vanillawell/commands/retrying_store.py
@@ -1,4 +1,4 @@
-"""Read the store for operators, asking again where an answer is lost or late."""
+"""Access the store for operators' commands, retrying reads whose answer is lost or late."""
 
 from __future__ import annotations
 
@@ -13,34 +13,37 @@
 
 Result = TypeVar("Result")
 
-READ_TRIES = 4
-"""Tries of one read before a command ends with its error."""
+MAX_READ_TRIES = 4
+"""Maximum number of tries of one read; after that its error ends the command."""
 
-TRY_PAUSE = 0.5
+RETRY_DELAY = 0.5
 """Seconds between two tries."""
 
 
 class RetryingStore(EtcdStore):
-    """Repeat reads, which have no effect; writes are left to whoever knows what they mean."""
+    """Retry reads, which have no side effects; callers decide whether to repeat their writes."""
 
     async def get(self, key: str) -> KeyValue | None:
         """Read one key."""
-        return await _again(lambda: super(RetryingStore, self).get(key))
+        return await _retry_read(lambda: super(RetryingStore, self).get(key))
 
     async def list(self, prefix: str) -> Listing:
         """Read all keys that start with `prefix`."""
-        return await _again(lambda: super(RetryingStore, self).list(prefix))
+        return await _retry_read(lambda: super(RetryingStore, self).list(prefix))
 
 
-async def _again(read: Callable[[], Awaitable[Result]]) -> Result:
-    """Read until there is an answer; raises the last try's StoreError.
+async def _retry_read(read: Callable[[], Awaitable[Result]]) -> Result:
+    """Read until there is an answer.
 
-    A change is accepted before its roll-out is read about. One late answer there would end the
-    command as if the change had failed.
+    A command reads the store again after its change was accepted. Without retries, one late
+    answer to such a read would end the command as if the change had failed.
+
+    Raises:
+        StoreError: The last try failed.
     """
-    for _ in range(READ_TRIES - 1):
+    for _ in range(MAX_READ_TRIES - 1):
         try:
             return await read()
         except StoreOutcomeUnknownError:
-            await anyio.sleep(TRY_PAUSE)
+            await anyio.sleep(RETRY_DELAY)
     return await read()
--- a/vanillawell/commands/rollout.py
+++ b/vanillawell/commands/rollout.py
@@ -1,4 +1,4 @@
-"""Follow a configuration until every entry confirms that it is in force there."""
+"""Poll the entries until each confirms that a configuration version is in force."""
 
 from __future__ import annotations
 
@@ -17,22 +17,22 @@
     from vanillawell.protocol.store import Store
     from vanillawell.transport.admin_client import AdminAccess
 
-ASK_INTERVAL = 0.05
-"""Seconds between two questions to an entry that lags."""
+POLL_INTERVAL = 0.05
+"""Seconds between two status requests to an entry that has not confirmed."""
 
-TELL_INTERVAL = 1.0
-"""Seconds between two lines of progress; a roll-out normally ends before the first."""
+PROGRESS_INTERVAL = 1.0
+"""Seconds between two lines of progress; a roll-out normally completes before the first."""
 
-NAMED_AT_MOST = 5
-"""Lagging entries named in a line of progress."""
+MAX_NAMED_ENTRIES = 5
+"""Maximum number of lagging entries that a line of progress names."""
 
 ADMIN_CALL_TIMEOUT = 1.0
-"""Seconds an entry may take to answer."""
+"""Seconds within which an entry must answer a request to its admin port."""
 
 
 @dataclass(slots=True)
 class Rollout:
-    """How far a version has come."""
+    """Progress of the roll-out of one configuration version."""
 
     version: int
     seconds: dict[str, float] = field(default_factory=dict)
@@ -49,35 +49,39 @@
 
 
 async def wait_for_rollout(
-    store: Store, keys: StoreKeys, access: AdminAccess, version: int, since: float, bound: float
+    store: Store, keys: StoreKeys, access: AdminAccess, version: int, since: float, timeout: float
 ) -> Rollout:
-    """Ask all registered entries until each has `version` or `bound` seconds have passed."""
+    """Poll all registered entries until each has `version` or `timeout` seconds have passed."""
     entries = await list_entries(store, keys)
     rollout = Rollout(version, lagging={entry.instance for entry in entries})
-    with anyio.move_on_after(bound):
+    with anyio.move_on_after(timeout):
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(_tell, rollout)
-            async with anyio.create_task_group() as questions:
+            tasks.start_soon(_print_progress, rollout)
+            async with anyio.create_task_group() as polls:
                 for entry in entries:
-                    questions.start_soon(_follow, access, entry, rollout, since)
+                    polls.start_soon(_poll_entry, access, entry, rollout, since)
             tasks.cancel_scope.cancel()
     return rollout
 
 
-async def _tell(rollout: Rollout) -> None:
-    """Say who lags while a roll-out takes long."""
+async def _print_progress(rollout: Rollout) -> None:
+    """Print at intervals which entries have not confirmed."""
     while True:
-        await anyio.sleep(TELL_INTERVAL)
-        done, lagging = len(rollout.seconds), sorted(rollout.lagging)
-        named = ", ".join(lagging[:NAMED_AT_MOST])
-        more = f" and {len(lagging) - NAMED_AT_MOST} more" if len(lagging) > NAMED_AT_MOST else ""
+        await anyio.sleep(PROGRESS_INTERVAL)
+        confirmed, lagging = len(rollout.seconds), sorted(rollout.lagging)
+        named = ", ".join(lagging[:MAX_NAMED_ENTRIES])
+        more = (
+            f" and {len(lagging) - MAX_NAMED_ENTRIES} more"
+            if len(lagging) > MAX_NAMED_ENTRIES
+            else ""
+        )
         print_line(
-            f"version {rollout.version}: {done} of {done + len(lagging)} entries confirm, "
-            f"waiting for {named}{more}"
+            f"version {rollout.version}: {confirmed} of {confirmed + len(lagging)} entries "
+            f"confirm, waiting for {named}{more}"
         )
 
 
-async def _follow(access: AdminAccess, entry: Presence, rollout: Rollout, since: float) -> None:
+async def _poll_entry(access: AdminAccess, entry: Presence, rollout: Rollout, since: float) -> None:
     async with access.client(entry) as client:
         while True:
             try:
@@ -88,4 +92,4 @@
                 rollout.seconds[entry.instance] = time.monotonic() - since
                 rollout.lagging.discard(entry.instance)
                 return
-            await anyio.sleep(ASK_INTERVAL)
+            await anyio.sleep(POLL_INTERVAL)
--- a/vanillawell/commands/settings.py
+++ b/vanillawell/commands/settings.py
@@ -16,7 +16,11 @@
 
 
 def check(context: CommandContext, file: Path) -> None:
-    """Validate a file; raises SettingsError that names file, key and reason."""
+    """Validate a settings file.
+
+    Raises:
+        SettingsError: The file is not valid; the text names file, key and reason.
+    """
     settings = load_model(file, DaemonSettings)
     if context.output is OutputFormat.JSON:
         print_document({"valid": True, "instance": settings.instance, "zone": settings.zone})
--- a/vanillawell/commands/status.py
+++ b/vanillawell/commands/status.py
@@ -1,4 +1,4 @@
-"""Show the fleet's status, as its entries report it."""
+"""Show the status of the fleet as its entries report it."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     statuses: dict[str, dict[str, Any]] = {}
     async with anyio.create_task_group() as tasks:
         for entry in entries:
-            tasks.start_soon(_ask, context.access, entry, statuses)
+            tasks.start_soon(_fetch_status, context.access, entry, statuses)
     if context.output is OutputFormat.JSON:
         print_document(statuses)
         return
@@ -38,7 +38,9 @@
     print_rows(_pool_rows(statuses), context.output, "Pools")
 
 
-async def _ask(access: AdminAccess, entry: Presence, statuses: dict[str, dict[str, Any]]) -> None:
+async def _fetch_status(
+    access: AdminAccess, entry: Presence, statuses: dict[str, dict[str, Any]]
+) -> None:
     async with access.client(entry) as client:
         try:
             statuses[entry.instance] = await client.get("/status", ADMIN_CALL_TIMEOUT)
@@ -82,11 +84,13 @@
     return [
         {
             "pool": name,
-            "service": seen[0]["service"] or "(spare)",
-            "executors": max(item["executors"] for item in seen),
-            "running": sum(item["running"] for item in seen),
-            "queued": sum(item["queued"] for item in seen),
-            "left_out": sorted({executor for item in seen for executor in item["ejected"]}),
+            "service": pool_statuses[0]["service"] or "(spare)",
+            "executors": max(item["executors"] for item in pool_statuses),
+            "running": sum(item["running"] for item in pool_statuses),
+            "queued": sum(item["queued"] for item in pool_statuses),
+            "left_out": sorted(
+                {executor for item in pool_statuses for executor in item["ejected"]}
+            ),
         }
-        for name, seen in pools.items()
+        for name, pool_statuses in pools.items()
     ]
