--- a/vanillawell/commands/jobs.py
+++ b/vanillawell/commands/jobs.py
@@ -18,7 +18,7 @@
     from vanillawell.protocol.store import Store
 
 MAX_TRIES = 20
-"""Maximum number of tries while the job runner writes to the same document."""
+"""Maximum number of tries against a job runner that writes to the same document."""
 
 
 def submit(
--- a/vanillawell/commands/maintenance.py
+++ b/vanillawell/commands/maintenance.py
@@ -22,7 +22,7 @@
     from vanillawell.protocol.store import Store
 
 MAX_TRIES = 10
-"""Maximum number of tries while the planner writes to the same document."""
+"""Maximum number of tries against a planner that writes to the same document."""
 
 PROGRESS_POLL_INTERVAL = 0.5
 """Seconds between two reads of a wave whose progress is printed."""
--- a/vanillawell/commands/report.py
+++ b/vanillawell/commands/report.py
@@ -37,7 +37,10 @@
 
 
 def burn(context: CommandContext, plot: Path | None) -> None:
-    """Print burn rates by service and organisation over both windows, and plot them on request."""
+    """Print burn rates by service and organisation over five minutes and an hour.
+
+    With `plot`, also write a plot of them to this file.
+    """
     rows = anyio.run(_collect, context)
     if plot:
         _plot(rows, plot)
