--- a/vanillawell/coordination/document_sync.py
+++ b/vanillawell/coordination/document_sync.py
@@ -145,7 +145,7 @@
         """Apply a value that was read from the store."""
         self._revision = stored.mod_revision
         if not self.apply(stored.value) and stored.value != self._document:
-            self._telemetry.state(f"{self._name} in the store", "older", logging.WARNING)
+            self._telemetry.log_state(f"{self._name} in the store", "older", logging.WARNING)
 
     async def _watch(self) -> None:
         while True:
--- a/vanillawell/coordination/limit_manager.py
+++ b/vanillawell/coordination/limit_manager.py
@@ -370,7 +370,7 @@
             bound for bound in (copy.unconfirmed_bound, copy.contention_bound) if bound is not None
         ]
         copy.usable = min([units, *bounds])
-        self._telemetry.held.set({"organisation": organisation}, units)
+        self._telemetry.units_held.set({"organisation": organisation}, units)
 
     def _set_contention_bound(self, organisation: str, demand: Demand) -> None:
         """Release units step by step while the fleet's demand exceeds the limit.
--- a/vanillawell/coordination/peers.py
+++ b/vanillawell/coordination/peers.py
@@ -162,7 +162,7 @@
         silence = now - link.acknowledged_at
         is_active = silence <= self._interval() + UNLISTED_PEER_TIMEOUTS * self._timing.peer_timeout
         subject = f"link to {address.host}:{address.port}"
-        self._telemetry.state(subject, "kept though unlisted" if is_active else "closed")
+        self._telemetry.log_state(subject, "kept though unlisted" if is_active else "closed")
         return is_active
 
     def push(self) -> None:
@@ -207,7 +207,7 @@
                         await self._send_heartbeats(stream, address, link)
                 except CONNECTION_ERRORS:
                     name = f"peer {address.host}:{address.port}"
-                    self._telemetry.state(name, "unreachable", logging.WARNING)
+                    self._telemetry.log_state(name, "unreachable", logging.WARNING)
                 await anyio.sleep(RECONNECT_INTERVAL)
             self._close(address, link)
 
@@ -227,7 +227,7 @@
             link.acknowledged_at = clock.read()
             # Logged only after an acknowledgement: a proxy on the path may accept connections and
             # close them immediately, and each attempt would log two state changes.
-            self._telemetry.state(f"peer {address.host}:{address.port}", "connected")
+            self._telemetry.log_state(f"peer {address.host}:{address.port}", "connected")
             with anyio.move_on_after(self._interval()):
                 await push.wait()
 
--- a/vanillawell/coordination/role.py
+++ b/vanillawell/coordination/role.py
@@ -80,11 +80,11 @@
     while True:
         try:
             await act()
-            telemetry.state(name, "active")
+            telemetry.log_state(name, "active")
         except NotHolderError:
-            telemetry.state(name, "passive")
+            telemetry.log_state(name, "passive")
             entries = len(membership.members)
             await anyio.sleep(max(PASSIVE_POLL_INTERVAL, entries / MAX_ENTRIES_READ_PER_SECOND))
         except (StoreError, PlatformUnavailableError) as error:
-            telemetry.state(name, f"waiting: {error}", logging.WARNING)
+            telemetry.log_state(name, f"waiting: {error}", logging.WARNING)
         await anyio.sleep(ROUND_INTERVAL)
--- a/vanillawell/work_telemetry.py
+++ b/vanillawell/scheduler_telemetry.py
@@ -1,4 +1,4 @@
-"""Count what the scheduler does."""
+"""Define the metrics of a scheduler process."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from vanillawell.telemetry import LATENCY_BUCKETS
 
 
-class WorkTelemetry:
-    """Own all metrics of one scheduler process."""
+class SchedulerTelemetry:
+    """All metrics of one scheduler process."""
 
     def __init__(self) -> None:
         self.registry = Registry()
--- a/vanillawell/tests/logs_tests.py
+++ b/vanillawell/tests/logs_tests.py
@@ -9,7 +9,13 @@
 import pytest
 
 from vanillawell.coordination import cycle_log
-from vanillawell.logs import BUDGET, DROPPED_FIELD, LONGEST_QUEUE, BudgetFilter, JsonFormatter
+from vanillawell.logs import (
+    DROPPED_FIELD,
+    LINE_BUDGET,
+    MAX_QUEUED_BYTES,
+    BudgetFilter,
+    JsonFormatter,
+)
 from vanillawell.logs import NonBlockingHandler as Handler
 from vanillawell.tests.scheduling_builders import ShardHarness, facts, job, step
 
@@ -24,7 +30,7 @@
     handler = Handler(writer)
     handler.setFormatter(JsonFormatter("entry-0"))
     started = time.monotonic()
-    lines = 2 * LONGEST_QUEUE // 1_000
+    lines = 2 * MAX_QUEUED_BYTES // 1_000
     for _ in range(lines):
         handler.emit(_record("x" * 1_000))
         handler.flush()
@@ -65,4 +71,4 @@
         cycle_log.log_started_tasks(runs, token=7)
     logged = [row for record in caplog.records for row in record.__dict__["runs"]]
     assert len(logged) == len(runs) == 1_000
-    assert len(caplog.records) < BUDGET / 10
+    assert len(caplog.records) < LINE_BUDGET / 10
--- a/vanillawell/transport/tls.py
+++ b/vanillawell/transport/tls.py
@@ -136,11 +136,11 @@
             item.reload()
         except (OSError, ssl.SSLError) as error:
             # The files may be half replaced: keep the previous certificate, retry at the next poll.
-            self._telemetry.state(name, f"not usable: {error}", logging.WARNING)
+            self._telemetry.log_state(name, f"not usable: {error}", logging.WARNING)
             return
         self._loaded_versions[index] = versions
         self._telemetry.certificate_reloads.inc({})
-        self._telemetry.state(name, f"reloaded, changed at {max(time for time, _ in versions)}")
+        self._telemetry.log_state(name, f"reloaded, changed at {max(time for time, _ in versions)}")
         self._reloaded()
 
 
