--- a/vanillawell/standins/demo.py
+++ b/vanillawell/standins/demo.py
@@ -14,7 +14,7 @@
 from vanillawell.config.loader import load_model
 from vanillawell.standins.deployment import Deployment
 from vanillawell.standins.fleet import Fleet
-from vanillawell.standins.load import LoadGenerator, LoadResult, Stream, Target, peaks
+from vanillawell.standins.load import LoadGenerator, LoadResult, Stream, Target, peak_rate
 
 PERIOD_SECONDS = 10.0
 """Time in which each service has one peak; the services take turns."""
@@ -30,7 +30,7 @@
         Stream(
             organisation=name,
             service=service,
-            rate=peaks(
+            rate=peak_rate(
                 rate / len(services) * organisation.weight / weights, PERIOD_SECONDS, i * peak, peak
             ),
             method="POST" if (i + len(name)) % 2 else "GET",
@@ -63,7 +63,7 @@
     total = result.total()
     refusals = ", ".join(f"{name} {count}" for name, count in total.refused.most_common()) or "none"
     console.print(f"sent {total.sent}, answered {total.answered}, refused: {refusals}")
-    console.print(f"broken connections: {dict(total.broken) or 'none'}")
+    console.print(f"broken connections: {dict(total.connection_errors) or 'none'}")
     console.print(
         "latency of answers: "
         + ", ".join(
@@ -94,7 +94,7 @@
             str(counts["most_running"].get(name, 0)),
             f"{organisation.share / shares:.1%}",
             f"{used.get(name, 0.0) / whole:.1%}",
-            str(result.tallies[name].answered),
+            str(result.caller_statistics[name].answered),
         )
     console.print(table)
 
--- a/vanillawell/standins/fleet.py
+++ b/vanillawell/standins/fleet.py
@@ -20,7 +20,14 @@
     zone_name,
 )
 from vanillawell.standins.load import Target
-from vanillawell.standins.processes import Door, Process, answers, call, free_port, wait_until
+from vanillawell.standins.processes import (
+    AccessOptions,
+    Process,
+    call,
+    free_port,
+    responds_ok,
+    wait_until,
+)
 
 if TYPE_CHECKING:
     from types import TracebackType
@@ -45,9 +52,15 @@
     """One entry of the fleet."""
 
     def __init__(
-        self, name: str, zone: int, number: int, process: Process, ports: EntryPorts, door: Door
+        self,
+        name: str,
+        zone: int,
+        number: int,
+        process: Process,
+        ports: EntryPorts,
+        access: AccessOptions,
     ):
-        self._door = door
+        self._door = access
         self.name = name
         self.zone = zone
         self.host = ENTRY_HOST.format(zone=zone, number=number)
@@ -57,11 +70,13 @@
     @property
     def ready(self) -> bool:
         """Tell whether the balancer may send callers to it."""
-        return self.process.running and answers(self.host, self.ports.admin, "/ready", self._door)
+        return self.process.running and responds_ok(
+            self.host, self.ports.admin, "/ready", self._door
+        )
 
     def status(self) -> Any:
         """Return its status document."""
-        return call(self.host, self.ports.admin, "/status", door=self._door)
+        return call(self.host, self.ports.admin, "/status", access=self._door)
 
     def metrics(self) -> str:
         """Return its metrics page."""
@@ -132,13 +147,13 @@
         process = self._process(name, "vanillawell.daemon", [str(path)])
         return EntryHandle(name, zone, number, process, ports, self._door())
 
-    def _door(self) -> Door:
+    def _door(self) -> AccessOptions:
         """Return how admin ports are reached, by the entries' settings."""
         settings = self.deployment.entry_settings
         trust = settings.get("admin_trust")
         context = ssl.create_default_context(cafile=trust["authorities"]) if trust else None
         token_file = settings.get("admin_token_file")
-        return Door(context, Path(token_file).read_text().strip() if token_file else "")
+        return AccessOptions(context, Path(token_file).read_text().strip() if token_file else "")
 
     def _entry_settings(
         self, name: str, zone: int, host: str, ports: EntryPorts
@@ -197,14 +212,16 @@
         """Start everything, push the configuration and wait until all entries are ready."""
         for process in (self.platform, self.backend, self.network, self.wires):
             process.start()
-        wait_until(lambda: answers(LOOPBACK, self._store_port, "/control/counts"), "the platform")
+        wait_until(
+            lambda: responds_ok(LOOPBACK, self._store_port, "/control/counts"), "the platform"
+        )
         if self.deployment.store_users:
             call(LOOPBACK, self._store_port, "/control/users", self.deployment.store_users)
         for name, port in self._control_ports.items():
-            wait_until(lambda p=port: answers(LOOPBACK, p, "/control/counts"), name)  # type: ignore[misc]
+            wait_until(lambda p=port: responds_ok(LOOPBACK, p, "/control/counts"), name)  # type: ignore[misc]
         for service, plan in self.deployment.services.items():
             names = [place.name for place in self._places if place.service == service]
-            self.behave(names, mean_seconds=plan.mean_seconds)
+            self.set_behaviour(names, mean_seconds=plan.mean_seconds)
         self._set_delays()
         self.set_up_machines()
         self.push(self.tree_document())
@@ -228,7 +245,7 @@
         zones = range(1, self.deployment.zones + 1)
         for near in zones if seconds else ():
             for far in (zone for zone in zones if zone != near):
-                self.fault(
+                self.set_fault(
                     f"latency-{near}-{far}",
                     "delay",
                     seconds=seconds,
@@ -273,13 +290,13 @@
         command = [sys.executable, "-m", "vanillawell.cli", *base, *arguments]
         return subprocess.run(command, capture_output=True, text=True, check=False)
 
-    def fault(self, name: str, kind: str, **fields: object) -> None:
+    def set_fault(self, name: str, kind: str, **fields: object) -> None:
         """Put a network fault in force on all links that it matches."""
         for proxy in ("network", "wires"):
             document = {"name": name, "kind": kind, **fields}
             call(LOOPBACK, self._control_ports[proxy], "/control/set", document)
 
-    def clear(self, name: str) -> None:
+    def clear_fault(self, name: str) -> None:
         """End a network fault."""
         for proxy in ("network", "wires"):
             call(LOOPBACK, self._control_ports[proxy], "/control/clear", {"name": name})
@@ -288,11 +305,11 @@
         """Return connections and struck faults of the links to executors."""
         return call(LOOPBACK, self._control_ports["network"], "/control/counts")
 
-    def store_faults(self, **fields: object) -> None:
+    def set_store_faults(self, **fields: object) -> None:
         """Let the store be down, slow, or lose answers."""
         call(LOOPBACK, self._store_port, "/control/faults", fields)
 
-    def end_store_tokens(self) -> None:
+    def revoke_store_tokens(self) -> None:
         """Let the store forget who has logged in."""
         call(LOOPBACK, self._store_port, "/control/users", self.deployment.store_users)
 
@@ -300,7 +317,7 @@
         """Return the calls that the store has counted."""
         return call(LOOPBACK, self._store_port, "/control/counts")
 
-    def behave(self, executors: list[str], **fields: object) -> None:
+    def set_behaviour(self, executors: list[str], **fields: object) -> None:
         """Change how executors behave; an empty list means all."""
         document = {"executors": executors, **fields}
         call(LOOPBACK, self._control_ports["backend"], "/control/behaviour", document)
@@ -316,7 +333,7 @@
         document = {"instances": instances, "seconds": seconds}
         call(LOOPBACK, self._store_port, "/control/fail", document)
 
-    def end_for_good(self, entry: EntryHandle) -> None:
+    def remove_permanently(self, entry: EntryHandle) -> None:
         """Kill an entry whose instance is gone for good."""
         entry.process.kill()
         call(LOOPBACK, self._store_port, "/control/gone", {"instances": [entry.name]})
@@ -329,7 +346,7 @@
         """Return the jobs that workers have done, and how many tasks were stopped."""
         return call(LOOPBACK, self._store_port, "/control/finished")
 
-    def margins(self) -> Any:
+    def availability_record(self) -> Any:
         """Return the platform's true record of available instances."""
         return call(LOOPBACK, self._store_port, "/control/margins")
 
--- a/vanillawell/standins/load.py
+++ b/vanillawell/standins/load.py
@@ -54,13 +54,13 @@
 
 
 @dataclass(slots=True)
-class Tally:
+class CallerStatistics:
     """What the callers of one organisation saw."""
 
     sent: int = 0
     answered: int = 0
     refused: Counter[str] = field(default_factory=Counter)
-    broken: Counter[str] = field(default_factory=Counter)
+    connection_errors: Counter[str] = field(default_factory=Counter)
     latencies: list[float] = field(default_factory=list)
 
     def percentile(self, part: float) -> float:
@@ -76,16 +76,16 @@
     """What all callers saw."""
 
     seconds: float
-    tallies: dict[str, Tally]
+    caller_statistics: dict[str, CallerStatistics]
 
-    def total(self) -> Tally:
+    def total(self) -> CallerStatistics:
         """Add up all organisations."""
-        whole = Tally()
-        for tally in self.tallies.values():
+        whole = CallerStatistics()
+        for tally in self.caller_statistics.values():
             whole.sent += tally.sent
             whole.answered += tally.answered
             whole.refused += tally.refused
-            whole.broken += tally.broken
+            whole.connection_errors += tally.connection_errors
             whole.latencies += tally.latencies
         return whole
 
@@ -101,7 +101,7 @@
             zone: itertools.cycle([t for t in targets if zone in (0, t.zone)])
             for zone in {0, *(target.zone for target in targets)}
         }
-        self._tallies: dict[str, Tally] = {}
+        self._tallies: dict[str, CallerStatistics] = {}
         self._idle: dict[Target, list[httpcore.AsyncConnectionPool]] = {
             target: [] for target in targets
         }
@@ -111,7 +111,7 @@
         started = time.monotonic()
         async with anyio.create_task_group() as tasks:
             for stream in streams:
-                self._tallies.setdefault(stream.organisation, Tally())
+                self._tallies.setdefault(stream.organisation, CallerStatistics())
                 rng = random.Random(self._rng.random())
                 tasks.start_soon(self._send_stream, stream, rng, seconds)
         for pool in (pool for pools in self._idle.values() for pool in pools):
@@ -120,7 +120,7 @@
 
     async def closed_loop(self, stream: Stream, callers: int, seconds: float) -> float:
         """Send without a pause by some callers; return answers a second."""
-        tally = self._tallies.setdefault(stream.organisation, Tally())
+        tally = self._tallies.setdefault(stream.organisation, CallerStatistics())
         end = time.monotonic() + seconds
 
         async def repeat() -> None:
@@ -167,7 +167,7 @@
             ("priority", f"u={stream.urgency}"),
         ]
         if stream.keyed:
-            headers.append(("idempotency-key", new_key(self._rng, time.time())))
+            headers.append(("idempotency-key", new_idempotency_key(self._rng, time.time())))
         await anyio.sleep(self._client_delay)
         pool = self._take_connection(target)
         try:
@@ -179,7 +179,7 @@
                 extensions={"timeout": CLIENT_TIMEOUT},
             )
         except (httpcore.NetworkError, httpcore.TimeoutException, httpcore.ProtocolError) as error:
-            tally.broken[type(error).__name__] += 1
+            tally.connection_errors[type(error).__name__] += 1
             await pool.aclose()
             return
         self._idle[target].append(pool)
@@ -198,19 +198,19 @@
         return str(response.status)
 
 
-def new_key(rng: random.Random, now: float) -> str:
+def new_idempotency_key(rng: random.Random, now: float) -> str:
     """Return a UUID of version 7 (RFC 9562, section 5.7): milliseconds, then random bits."""
     random_bits = rng.getrandbits(74)
     value = int(now * 1000) << 80 | 7 << 76 | (random_bits >> 62) << 64
     return str(uuid.UUID(int=value | 2 << 62 | random_bits & (1 << 62) - 1))
 
 
-def steady(rate: float) -> Callable[[float], float]:
+def constant_rate(rate: float) -> Callable[[float], float]:
     """Return a constant rate."""
     return lambda _: rate
 
 
-def peaks(
+def peak_rate(
     mean: float, period: float, offset: float, peak_seconds: float, factor: float = 5.0
 ) -> Callable[[float], float]:
     """Return a rate of `factor` times the mean for some seconds, and a twentieth between."""
--- a/vanillawell/standins/machines.py
+++ b/vanillawell/standins/machines.py
@@ -90,7 +90,7 @@
             self._record()
         return {"state": "done" if self._reboots[operation].done else "running"}
 
-    def end_for_good(self, instances: list[str]) -> None:
+    def remove_permanently(self, instances: list[str]) -> None:
         """Let instances be gone, never to run again."""
         self._gone.update(instances)
 
--- a/vanillawell/standins/measure/fleets.py
+++ b/vanillawell/standins/measure/fleets.py
@@ -67,7 +67,7 @@
         "sent": total.sent,
         "answered": total.answered,
         "refused": dict(total.refused),
-        "broken": dict(total.broken),
+        "broken": dict(total.connection_errors),
         "p50_ms": round(total.percentile(0.5) * 1000, 1),
         "p99_ms": round(total.percentile(0.99) * 1000, 1),
     }
--- a/vanillawell/standins/measure/operations.py
+++ b/vanillawell/standins/measure/operations.py
@@ -13,7 +13,7 @@
 
 from vanillawell.standins.deployment import Deployment
 from vanillawell.standins.fleet import Fleet
-from vanillawell.standins.load import LoadGenerator, LoadResult, Stream, peaks
+from vanillawell.standins.load import LoadGenerator, LoadResult, Stream, peak_rate
 from vanillawell.standins.measure.fleets import fleet_of, load, summary, targets_of
 
 
@@ -41,7 +41,9 @@
     services = list(deployment.services)
     weights = sum(organisation.weight for organisation in deployment.organisations.values())
     streams = [
-        Stream(name, service, peaks(60 * organisation.weight / weights, 10.0, 2.0 * number, 2.0))
+        Stream(
+            name, service, peak_rate(60 * organisation.weight / weights, 10.0, 2.0 * number, 2.0)
+        )
         for number, service in enumerate(services)
         for name, organisation in deployment.organisations.items()
     ]
@@ -50,7 +52,7 @@
         time.sleep(3.0)
         results["at rest"] = control_of(fleet, lambda: time.sleep(10.0))
         results["peaks"] = control_of(fleet, lambda: load(fleet, streams, 10.0, seed))
-        fleet.store_faults(down=True)
+        fleet.set_store_faults(down=True)
         results["store down"] = control_of(fleet, lambda: load(fleet, streams, 10.0, seed))
     return results
 
@@ -101,7 +103,7 @@
             while not done and time.monotonic() - started < bound:
                 done = fleet.cli("maintenance", "status")["state"] == "done"
                 time.sleep(0.2)
-            record = fleet.margins()
+            record = fleet.availability_record()
         return {
             "spares": spares,
             "budget": budget,
@@ -149,7 +151,7 @@
         Stream(
             name,
             service,
-            peaks(mean_rate * organisation.weight / weights, 15.0, 3.0 * number, 3.0),
+            peak_rate(mean_rate * organisation.weight / weights, 15.0, 3.0 * number, 3.0),
             timeout=1.5,
         )
         for number, service in enumerate(deployment.services)
@@ -168,7 +170,7 @@
             places = Whereabouts()
             result = load_and_sample(fleet, streams, 75.0, seed, places)
             moves = counter_sum(fleet, "vanillawell_moves_total")
-        parts = [tally.answered / tally.sent for tally in result.tallies.values()]
+        parts = [tally.answered / tally.sent for tally in result.caller_statistics.values()]
         return {
             "idle_spares_mean": round(statistics.fmean(places.idle_spares), 2),
             "spares_needed": spares - min(places.idle_spares),
--- a/vanillawell/standins/measure/requests.py
+++ b/vanillawell/standins/measure/requests.py
@@ -10,7 +10,14 @@
 
 from vanillawell.standins.deployment import Deployment
 from vanillawell.standins.fleet import Fleet
-from vanillawell.standins.load import LoadGenerator, LoadResult, Stream, Target, peaks, steady
+from vanillawell.standins.load import (
+    LoadGenerator,
+    LoadResult,
+    Stream,
+    Target,
+    constant_rate,
+    peak_rate,
+)
 from vanillawell.standins.measure.fleets import BASELINE, fleet_of, load, load_window, summary
 from vanillawell.standins.processes import wait_until
 from vanillawell.state.slot_allocation import fair_slots
@@ -42,7 +49,9 @@
         }
         with fleet_of(deployment, **changes) as fleet:
             streams = [
-                Stream(name, service, steady(rate * organisation.weight / weights), timeout=3.0)
+                Stream(
+                    name, service, constant_rate(rate * organisation.weight / weights), timeout=3.0
+                )
                 for name, organisation in organisations.items()
             ]
             load(fleet, streams, 3.0, seed)
@@ -69,7 +78,7 @@
                 name: {
                     "part_due": round(due[name] / slots, 3),
                     "part_used": round(used.get(name, 0.0) / total, 3),
-                    "refused": dict(result.tallies[name].refused),
+                    "refused": dict(result.caller_statistics[name].refused),
                 }
                 for name in organisations
             },
@@ -90,13 +99,16 @@
     }
     with fleet_of(deployment, **changes) as fleet:
         streams = [
-            Stream("nightly", service, steady(3 * slots / 0.1), timeout=3.0, urgency=6),
-            Stream("urgent", service, steady(0.2 * slots / 0.1), timeout=3.0),
+            Stream("nightly", service, constant_rate(3 * slots / 0.1), timeout=3.0, urgency=6),
+            Stream("urgent", service, constant_rate(0.2 * slots / 0.1), timeout=3.0),
         ]
         load(fleet, streams, 2.0, seed)
         result = load(fleet, streams, 8.0, seed + 1)
-    tallies = result.tallies.items()
-    return {name: summary(LoadResult(result.seconds, {name: tally})) for name, tally in tallies}
+    caller_statistics = result.caller_statistics.items()
+    return {
+        name: summary(LoadResult(result.seconds, {name: tally}))
+        for name, tally in caller_statistics
+    }
 
 
 def measure_one_zone(deployment: Deployment, seed: int) -> dict[str, Any]:
@@ -110,7 +122,7 @@
             "experiment": experiment,
         }
         with fleet_of(deployment, **changes) as fleet:
-            streams = [Stream("solo", service, steady(600.0), timeout=1.0, zone=1)]
+            streams = [Stream("solo", service, constant_rate(600.0), timeout=1.0, zone=1)]
             load(fleet, streams, 3.0, seed)
             fleet.reset_backend()
             result = load(fleet, streams, 6.0, seed + 1)
@@ -134,7 +146,7 @@
                 Stream(
                     name,
                     service,
-                    peaks(60 * organisation.weight / weights, 10.0, 2.0 * number, 2.0),
+                    peak_rate(60 * organisation.weight / weights, 10.0, 2.0 * number, 2.0),
                     method="POST" if number % 2 else "GET",
                     timeout=3.0,
                 )
@@ -157,11 +169,11 @@
     first = [f"{service}-1" for service in fleet.deployment.services]
     match name:
         case "fail-fast":
-            fleet.behave(first, fail_fast=True)
+            fleet.set_behaviour(first, fail_fast=True)
         case "store-down":
-            fleet.store_faults(down=True)
+            fleet.set_store_faults(down=True)
         case "store-slow":
-            fleet.store_faults(delay=0.3)
+            fleet.set_store_faults(delay=0.3)
         case "":
             return
         case _:
@@ -179,7 +191,7 @@
     with fleet_of(deployment, **changes) as fleet:
 
         def run(keyed: bool, seconds: float = 8.0) -> dict[str, Any]:
-            stream = Stream("solo", service, steady(300.0), "POST", 3.0, keyed=keyed)
+            stream = Stream("solo", service, constant_rate(300.0), "POST", 3.0, keyed=keyed)
             before = fleet.store_counts()["calls"]
             result = load(fleet, [stream], seconds, seed)
             after = fleet.store_counts()["calls"]
@@ -195,7 +207,7 @@
             ("store answers after 0.3 s", {"delay": 0.3}),
             ("store down", {"delay": 0.0, "down": True}),
         ):
-            fleet.store_faults(**faults)
+            fleet.set_store_faults(**faults)
             results[name] = {"without key": run(False), "with key": run(True)}
     return results
 
@@ -213,15 +225,15 @@
     with fleet_of(deployment, **changes) as fleet:
         entry = fleet.entries["entry-1-1"]
         idle_kilobytes = entry.process.resident_kilobytes()
-        warm = [Stream("solo", "check", steady(200.0))]
+        warm = [Stream("solo", "check", constant_rate(200.0))]
         load(fleet, warm, 2.0, seed)
         before = entry.process.cpu_seconds()
-        steady_load = load(fleet, [Stream("solo", "check", steady(300.0))], 8.0, seed)
+        steady_load = load(fleet, [Stream("solo", "check", constant_rate(300.0))], 8.0, seed)
         cpu = entry.process.cpu_seconds() - before
         generator = LoadGenerator([fleet.executor_target("check-1")], seed)
         direct = anyio.run(
             generator.run,
-            [Stream("solo", "check", steady(300.0))],
+            [Stream("solo", "check", constant_rate(300.0))],
             8.0,
             backend_options={"use_uvloop": True},
         )
@@ -247,7 +259,7 @@
 
     async def drive(target: Target) -> float:
         generator = LoadGenerator([target], seed)
-        return await generator.closed_loop(Stream("solo", "check", steady(1.0)), 24, 4.0)
+        return await generator.closed_loop(Stream("solo", "check", constant_rate(1.0)), 24, 4.0)
 
     entry = fleet.entries["entry-1-1"]
     options = {"use_uvloop": True}
--- a/vanillawell/standins/platform.py
+++ b/vanillawell/standins/platform.py
@@ -158,7 +158,7 @@
                 finished, stops = self._workers.finished, self._workers.stops
                 await send_json(send, {"finished": finished, "stops": stops})
             case "/control/gone":
-                self._machines.end_for_good(request["instances"])
+                self._machines.remove_permanently(request["instances"])
                 await send_json(send, {"ok": True})
             case "/control/users":
                 self._users = request
--- a/vanillawell/standins/processes.py
+++ b/vanillawell/standins/processes.py
@@ -35,10 +35,10 @@
 FIRST_GUARD = 1_900
 """Guard ports that say which blocks are taken, one for each block."""
 
-WAIT_BOUND = 30.0
+WAIT_TIMEOUT = 30.0
 """Seconds after which a condition that does not come true is an error."""
 
-WAIT_PAUSE = 0.02
+POLL_INTERVAL = 0.02
 """Seconds between two looks at a condition."""
 
 CALL_TIMEOUT = {"connect": 2.0, "read": 10.0, "write": 5.0, "pool": 5.0}
@@ -92,17 +92,17 @@
     return next(_PORTS)
 
 
-def wait_until(condition: Callable[[], bool], what: str, bound: float = WAIT_BOUND) -> None:
+def wait_until(condition: Callable[[], bool], what: str, timeout: float = WAIT_TIMEOUT) -> None:
     """Wait for a condition to come true; raises NeverTrueError that says `what`."""
-    deadline = time.monotonic() + bound
+    deadline = time.monotonic() + timeout
     while not condition():
         if time.monotonic() > deadline:
-            raise NeverTrueError(f"not within {bound:g} s: {what}")
-        time.sleep(WAIT_PAUSE)
+            raise NeverTrueError(f"not within {timeout:g} s: {what}")
+        time.sleep(POLL_INTERVAL)
 
 
 @dataclass(frozen=True, slots=True)
-class Door:
+class AccessOptions:
     """How a port is reached that asks for more than an address."""
 
     context: ssl.SSLContext | None = None
@@ -119,30 +119,32 @@
         return {"authorization": f"Bearer {self.token}"} if self.token else {}
 
 
-OPEN_DOOR = Door()
+PLAIN_HTTP = AccessOptions()
 """Plain HTTP without a token."""
 
 
-def call(host: str, port: int, path: str, document: object = None, door: Door = OPEN_DOOR) -> Any:
+def call(
+    host: str, port: int, path: str, document: object = None, access: AccessOptions = PLAIN_HTTP
+) -> Any:
     """Make one control call and return the answer's document."""
     method = "GET" if document is None else "POST"
     content = None if document is None else orjson.dumps(document)
-    with httpcore.ConnectionPool(ssl_context=door.context) as pool:
+    with httpcore.ConnectionPool(ssl_context=access.context) as pool:
         response = pool.request(
             method,
-            f"{door.scheme}://{host}:{port}{path}",
-            headers=door.headers,
+            f"{access.scheme}://{host}:{port}{path}",
+            headers=access.headers,
             content=content,
             extensions={"timeout": CALL_TIMEOUT},
         )
     return orjson.loads(response.content)
 
 
-def answers(host: str, port: int, path: str, door: Door = OPEN_DOOR) -> bool:
+def responds_ok(host: str, port: int, path: str, access: AccessOptions = PLAIN_HTTP) -> bool:
     """Tell whether a call succeeds with status 200."""
     try:
-        with httpcore.ConnectionPool(ssl_context=door.context) as pool:
-            url = f"{door.scheme}://{host}:{port}{path}"
+        with httpcore.ConnectionPool(ssl_context=access.context) as pool:
+            url = f"{access.scheme}://{host}:{port}{path}"
             return pool.request("GET", url, extensions={"timeout": CALL_TIMEOUT}).status == 200
     except (httpcore.NetworkError, httpcore.TimeoutException, httpcore.ProtocolError):
         return False
@@ -202,9 +204,9 @@
         self.signal(signal.SIGTERM)
         return self.wait()
 
-    def wait(self, bound: float = WAIT_BOUND) -> int:
+    def wait(self, timeout: float = WAIT_TIMEOUT) -> int:
         """Wait for its end and return its exit status."""
-        return self._child.wait(bound) if self._child else 0
+        return self._child.wait(timeout) if self._child else 0
 
     def cpu_seconds(self) -> float:
         """Return the processor time it has used."""
--- a/vanillawell/tests/builders.py
+++ b/vanillawell/tests/builders.py
@@ -9,7 +9,7 @@
 from vanillawell.config.tree import OperatorTree
 from vanillawell.protocol.documents import Presence
 from vanillawell.standins.deployment import Deployment
-from vanillawell.standins.load import new_key
+from vanillawell.standins.load import new_idempotency_key
 from vanillawell.state.limits import LimitChange, OrganisationLimit
 
 QUICK_TIMING: dict[str, Any] = {
@@ -84,4 +84,4 @@
 
 def uuid7(milliseconds: int) -> str:
     """Build a UUIDv7 of a given time."""
-    return new_key(random.Random(), milliseconds / 1000)
+    return new_idempotency_key(random.Random(), milliseconds / 1000)
--- a/vanillawell/tests/jobs_tests.py
+++ b/vanillawell/tests/jobs_tests.py
@@ -156,7 +156,7 @@
 
         run_during_load(callers, peak)
         ended = {"done", "failed"}
-        wait_until(lambda: set(states(fleet).values()) <= ended, "all jobs end", bound=60.0)
+        wait_until(lambda: set(states(fleet).values()) <= ended, "all jobs end", timeout=60.0)
         good = sorted(jobs[kind] for kind in kinds)
         assert sorted(fleet.finished_jobs()["finished"]) == good
         assert states(fleet)[jobs["broken"]] == "failed"
--- a/vanillawell/tests/limit_proof_tests.py
+++ b/vanillawell/tests/limit_proof_tests.py
@@ -74,20 +74,20 @@
 
 def outage_and_lost_answers(fleet: Fleet) -> Iterator[Callable[[SteadyCallers], None]]:
     def outage(callers: SteadyCallers) -> None:
-        fleet.store_faults(down=True)
+        fleet.set_store_faults(down=True)
         wait_for_answers(callers, 60, "requests are answered without the store")
-        fleet.store_faults(down=False)
+        fleet.set_store_faults(down=False)
 
     def lost_answers(callers: SteadyCallers) -> None:
         for _ in range(4):
-            fleet.store_faults(lose_answers=3)
+            fleet.set_store_faults(lose_answers=3)
             wait_for_answers(callers, 30, "requests are answered while answers are lost")
-        fleet.store_faults(lose_answers=0)
+        fleet.set_store_faults(lose_answers=0)
 
     def late_writes(callers: SteadyCallers) -> None:
-        fleet.store_faults(delay=1.0)
+        fleet.set_store_faults(delay=1.0)
         wait_for_answers(callers, 60, "requests are answered while the store is slow")
-        fleet.store_faults(delay=0.0)
+        fleet.set_store_faults(delay=0.0)
 
     yield from (outage, lost_answers, late_writes)
 
@@ -120,9 +120,9 @@
                 lambda: all(units_held(entry) >= 1 for entry in fleet.entries.values()),
                 "every entry holds its part of the reserve",
             )
-            fleet.fault("store", "cut", link="store-1")
-            fleet.fault("out", "cut", link="peer", source_zone=1)
-            fleet.fault("in", "cut", link="peer", target_zone=1)
+            fleet.set_fault("store", "cut", link="store-1")
+            fleet.set_fault("out", "cut", link="peer", source_zone=1)
+            fleet.set_fault("in", "cut", link="peer", target_zone=1)
             time.sleep(1.0)
             entry = fleet.entries["entry-1-1"]
             wait_until(
@@ -131,7 +131,7 @@
             )
             wait_for_answers(callers, 60, "all zones answer during the cut")
             for name in ("store", "out", "in"):
-                fleet.clear(name)
+                fleet.clear_fault(name)
 
         under_load(fleet, script)
 
@@ -165,7 +165,7 @@
         def script(callers: SteadyCallers) -> None:
             gone = busiest(fleet)
             callers.remove_entry(gone)
-            fleet.end_for_good(gone)
+            fleet.remove_permanently(gone)
             others = [entry for entry in fleet.entries.values() if entry is not gone]
             wait_until(
                 lambda: sum(units_held(entry) for entry in others) == LIMIT, "all units are back"
--- a/vanillawell/tests/maintenance_proof_tests.py
+++ b/vanillawell/tests/maintenance_proof_tests.py
@@ -60,7 +60,7 @@
 
 
 def check_wave(fleet: Fleet, replies: list[Any], reboots: int = 9) -> None:
-    record = fleet.margins()
+    record = fleet.availability_record()
     assert record["least_planned"]["pool-check"] >= BUDGET
     assert len(record["reboots"]) == reboots
     assert set(record["reboots"].values()) == {1}
@@ -89,11 +89,11 @@
         def script() -> None:
             wait_for_answers(callers, 20, "requests are answered")
             fleet.cli("maintenance", "start")
-            wait_until(lambda: wave_state(fleet)[0] == "done", "the wave ends", bound=90.0)
+            wait_until(lambda: wave_state(fleet)[0] == "done", "the wave ends", timeout=90.0)
 
         replies = run_during_load(callers, script)
         check_wave(fleet, replies)
-        record = fleet.margins()
+        record = fleet.availability_record()
         assert record["least_available"]["pool-check"] >= BUDGET + 1
         print(f"least available {record['least_available']}, moves {record['moves']}")
 
@@ -111,7 +111,7 @@
 
         def script() -> None:
             fleet.cli("maintenance", "start")
-            wait_until(lambda: small_rack_is_leaving(fleet), "the other rack's turn", bound=60.0)
+            wait_until(lambda: small_rack_is_leaving(fleet), "the other rack's turn", timeout=60.0)
             rack = [f"check-{number}" for number in range(1, 5)]
             fleet.fail_instances(rack, 4.0)
             first = planner(fleet)
@@ -122,16 +122,16 @@
             callers.remove_entry(second)
             time.sleep(0.5)
             second.process.pause()
-            fleet.store_faults(down=True)
+            fleet.set_store_faults(down=True)
             time.sleep(1.0)
-            fleet.store_faults(down=False)
+            fleet.set_store_faults(down=False)
             time.sleep(3.0)
             second.process.resume()
-            wait_until(lambda: wave_state(fleet)[0] == "done", "the wave ends", bound=90.0)
+            wait_until(lambda: wave_state(fleet)[0] == "done", "the wave ends", timeout=90.0)
 
         run_during_load(callers, script)
         check_wave(fleet, [])
-        assert fleet.margins()["least_available"]["pool-check"] >= BUDGET
+        assert fleet.availability_record()["least_available"]["pool-check"] >= BUDGET
 
 
 def planner_after(fleet: Fleet, killed: EntryHandle) -> EntryHandle:
@@ -166,7 +166,7 @@
 
         def script() -> None:
             wait_for_answers(callers, 20, "requests are answered")
-            fleet.store_faults(lose_answers=1)
+            fleet.set_store_faults(lose_answers=1)
             fleet.cli("pool", "move", "check-5", "pool-stamp")
             started = time.monotonic()
             wait_until(placed, "the move ends")
@@ -210,7 +210,7 @@
             )
             assert executors("pool-stamp") == 6, "it was given away while it was in use"
             for name in ("store", "in", "out"):
-                fleet.clear(name)
+                fleet.clear_fault(name)
             wait_until(lambda: executors("pool-stamp") == 7, "the move ends after the cut")
 
         replies = run_during_load(callers, script)
@@ -219,6 +219,6 @@
 
 def cut_off_zone_2(fleet: Fleet) -> None:
     """Cut zone 2 off from the store and from the other zone's entries."""
-    fleet.fault("store", "cut", link="store-2")
-    fleet.fault("out", "cut", link="peer", source_zone=2)
-    fleet.fault("in", "cut", link="peer", target_zone=2)
+    fleet.set_fault("store", "cut", link="store-2")
+    fleet.set_fault("out", "cut", link="peer", source_zone=2)
+    fleet.set_fault("in", "cut", link="peer", target_zone=2)
--- a/vanillawell/tests/outcome_proof_tests.py
+++ b/vanillawell/tests/outcome_proof_tests.py
@@ -84,13 +84,13 @@
 
         def script() -> None:
             wait_for_answers(callers, 100, "requests are answered before any fault")
-            fleet.fault("a", "cut-after-request", link="executor", count=15)
+            fleet.set_fault("a", "cut-after-request", link="executor", count=15)
             wait_for_answers(callers, 100, "requests are answered while connections are cut")
-            fleet.fault("b", "half-answer", link="executor", count=15)
+            fleet.set_fault("b", "half-answer", link="executor", count=15)
             wait_for_answers(callers, 100, "requests are answered while answers break off")
-            fleet.fault("c", "cut", link="executor-check-1")
+            fleet.set_fault("c", "cut", link="executor-check-1")
             wait_for_answers(callers, 100, "requests are answered without one executor")
-            fleet.clear("c")
+            fleet.clear_fault("c")
 
         kinds = check_replies(fleet, run_during_load(callers, script))
         assert kinds["may-have-run"] > 0, "no fault struck a stamp"
@@ -227,7 +227,7 @@
         assert (refused.problem, refused.verdict) == ("store-unavailable", "not-run")
         assert send_one(fleet.entries["entry-2-1"], again).status == 200
         for name in ("store", "in", "out"):
-            fleet.clear(name)
+            fleet.clear_fault(name)
         wait_until(
             lambda: resend_elsewhere(fleet, key, "stamp").status == 200, "its answer is replayed"
         )
@@ -239,9 +239,9 @@
 
 def cut_off_zone_1(fleet: Fleet) -> None:
     """Cut zone 1 off from the store and from the other zone's entry."""
-    fleet.fault("store", "cut", link="store-1")
-    fleet.fault("out", "cut", link="peer", source_zone=1)
-    fleet.fault("in", "cut", link="peer", target_zone=1)
+    fleet.set_fault("store", "cut", link="store-1")
+    fleet.set_fault("out", "cut", link="peer", source_zone=1)
+    fleet.set_fault("in", "cut", link="peer", target_zone=1)
 
 
 def test_stamps_are_refused_as_not_run_while_the_store_is_down(tmp_path: Path) -> None:
@@ -249,14 +249,14 @@
     with running_fleet(tmp_path, **TWO_ZONES) as fleet:
         entry = fleet.entries["entry-1-1"]
         wait_until(lambda: units_held(entry) >= 1, "the entry holds units of the limit")
-        fleet.store_faults(down=True)
+        fleet.set_store_faults(down=True)
         calls = [Call(method="POST", mark=f"m{n}", idempotency_key=new_key()) for n in range(5)]
         replies = send_all([(entry, call) for call in calls])
         assert {(reply.problem, reply.verdict) for reply in replies} == {
             ("store-unavailable", "not-run")
         }
         assert send_one(entry, Call(method="POST", mark="free")).status == 200
-        fleet.store_faults(down=False)
+        fleet.set_store_faults(down=False)
         for call in calls:
             wait_until(lambda c=call: send_one(entry, c).status == 200, "it runs in the end")  # type: ignore[misc]
         assert runs_by_mark(fleet) == {"free": 1} | {f"m{n}": 1 for n in range(5)}
@@ -270,7 +270,7 @@
     """
     with running_fleet(tmp_path, **TWO_ZONES) as fleet:
         call = Call(method="POST", mark="stamp", idempotency_key=new_key())
-        fleet.fault("lost", "cut-after-request", link="store", contains=CLAIM_PREFIX, count=1)
+        fleet.set_fault("lost", "cut-after-request", link="store", contains=CLAIM_PREFIX, count=1)
         assert send_one(fleet.entries["entry-1-1"], call).status == 200
         assert runs_by_mark(fleet) == {"stamp": 1}
 
@@ -283,7 +283,7 @@
     """
     with running_fleet(tmp_path, **TWO_ZONES) as fleet:
         call = Call(method="POST", mark="stamp", idempotency_key=new_key())
-        fleet.fault("lost", "cut-after-request", link="store", contains=CLAIM_PREFIX, count=2)
+        fleet.set_fault("lost", "cut-after-request", link="store", contains=CLAIM_PREFIX, count=2)
         reply = send_one(fleet.entries["entry-1-1"], call)
         assert (reply.problem, reply.verdict) == ("store-unavailable", "not-run")
         again = fleet.entries[again_through]
@@ -297,10 +297,10 @@
     The caller must see that the answer is not whole, by its framing.
     """
     with running_fleet(tmp_path, **TWO_ZONES) as fleet:
-        fleet.behave([], answer_bytes=8_000_000, chunked=True)
+        fleet.set_behaviour([], answer_bytes=8_000_000, chunked=True)
         entry = fleet.entries["entry-1-1"]
         assert len(send_one(entry, Call()).body) == 8_000_000
-        fleet.fault("late-cut", "cut-in-answer", link="executor", after=1_000_000, count=1)
+        fleet.set_fault("late-cut", "cut-in-answer", link="executor", after=1_000_000, count=1)
         reply = send_one(entry, Call(method="POST"))
         assert reply.connection_error == "RemoteProtocolError"
 
@@ -311,7 +311,7 @@
     Least-loaded routing would send it most requests, and most callers would get errors.
     """
     with running_fleet(tmp_path, **TWO_ZONES) as fleet:
-        fleet.behave(["check-2"], fail_fast=True)
+        fleet.set_behaviour(["check-2"], fail_fast=True)
         callers = SteadyCallers(list(fleet.entries.values()), mixed_call, open_requests=20)
 
         def script() -> None:
@@ -321,7 +321,7 @@
         assert fleet.backend_counts()["started"]["check-2"] < len(replies) / 10
         failed = [reply for reply in replies if reply.status != 200]
         assert len(failed) < 25
-        fleet.behave(["check-2"], fail_fast=False)
+        fleet.set_behaviour(["check-2"], fail_fast=False)
         more = SteadyCallers(list(fleet.entries.values()), mixed_call, open_requests=20)
 
         def recover() -> None:
@@ -350,7 +350,7 @@
 
         def script() -> None:
             wait_for_answers(callers, 100, "requests are answered")
-            fleet.fault("lost", "silence-old", link="executor")
+            fleet.set_fault("lost", "silence-old", link="executor")
             wait_for_answers(callers, 300, "requests are answered over new connections")
 
         replies = run_during_load(callers, script)
--- a/vanillawell/tests/rollout_proof_tests.py
+++ b/vanillawell/tests/rollout_proof_tests.py
@@ -59,14 +59,14 @@
     would let a former submitter in.
     """
     with running_fleet(tmp_path, **THREE_ZONES) as fleet:
-        fleet.fault("cut", "cut", link="store-1")
+        fleet.set_fault("cut", "cut", link="store-1")
         started = time.monotonic()
         fleet.cli("key", "withdraw", "guild", "first")
         for entry in fleet.entries.values():
             wait_until(
                 lambda e=entry: send_one(e, Call()).status == 401,  # type: ignore[misc]
                 f"{entry.name} refuses the key",
-                bound=10.0,
+                timeout=10.0,
             )
         print(f"withdrawn key refused everywhere after {time.monotonic() - started:.2f} s")
 
@@ -80,16 +80,16 @@
         tmp_path, **THREE_ZONES, fleet_settings={"key_freshness": 4.0, "reserve": 1.0}
     ) as fleet:
         wait_until(lambda: all(units_held(e) for e in fleet.entries.values()), "all hold units")
-        fleet.fault("store", "cut", link="store-1")
-        fleet.fault("out", "cut", link="peer", source_zone=1)
-        fleet.fault("in", "cut", link="peer", target_zone=1)
+        fleet.set_fault("store", "cut", link="store-1")
+        fleet.set_fault("out", "cut", link="peer", source_zone=1)
+        fleet.set_fault("in", "cut", link="peer", target_zone=1)
         entry = fleet.entries["entry-1-1"]
         assert send_one(entry, Call()).status == 200
         wait_until(
             lambda: send_one(entry, Call()).problem == "configuration-stale", "it refuses in time"
         )
         for name in ("store", "out", "in"):
-            fleet.clear(name)
+            fleet.clear_fault(name)
         wait_until(lambda: send_one(entry, Call()).status == 200, "it serves again")
 
 
@@ -106,17 +106,17 @@
             "/v3/kv/range",
             {"key": b64encode(CONFIGURATION_KEY.encode()).decode()},
         )["kvs"][0]["value"]
-        fleet.fault("cut", "cut", link="store-1")
+        fleet.set_fault("cut", "cut", link="store-1")
         fleet.cli("node", "set", "guild", "limit=5")
         wait_until(lambda: min(versions(fleet)) == 2, "peers tell the cut-off zone")
-        fleet.store_faults(down=True)
+        fleet.set_store_faults(down=True)
         restarted = fleet.entries["entry-2-1"]
         restarted.process.kill()
         restarted.process.start()
-        fleet.store_faults(down=False)
+        fleet.set_store_faults(down=False)
         put = {"key": b64encode(CONFIGURATION_KEY.encode()).decode(), "value": older}
         control("127.0.0.1", int(fleet.store_address.rpartition(":")[2]), "/v3/kv/put", put)
-        fleet.clear("cut")
+        fleet.clear_fault("cut")
         wait_until(lambda: restarted.ready, "the restarted entry is ready")
         wait_until(lambda: min(versions(fleet)) == 2, "it learns the newer one from its peers")
         wait_until(
@@ -134,7 +134,7 @@
     Each either wins or is told what the other changed; nobody's accepted change disappears.
     """
     with running_fleet(tmp_path) as fleet:
-        fleet.store_faults(delay=0.4)
+        fleet.set_store_faults(delay=0.4)
         results: dict[int, Any] = {}
 
         def change(number: int) -> None:
@@ -159,7 +159,7 @@
 def test_an_operators_lost_answer_is_recognised(tmp_path: Path) -> None:
     """The store applies a change and its answer is lost; the command must not report a race."""
     with running_fleet(tmp_path) as fleet:
-        fleet.store_faults(lose_answers=1)
+        fleet.set_store_faults(lose_answers=1)
         fleet.cli("node", "set", "guild", "limit=5")
         history = fleet.cli("config", "history")
         assert [item["version"] for item in history] == [1, 2]
@@ -173,11 +173,11 @@
     """
     with running_fleet(tmp_path) as fleet:
         fleet.entries["entry-1-1"].process.kill()
-        fleet.store_faults(lose_reads=1)
+        fleet.set_store_faults(lose_reads=1)
         assert fleet.cli("node", "set", "guild", "limit=5")["version"] == 2
-        fleet.store_faults(lose_reads=1)
+        fleet.set_store_faults(lose_reads=1)
         assert [item["version"] for item in fleet.cli("config", "history")] == [1, 2]
-        fleet.store_faults(lose_reads=100)
+        fleet.set_store_faults(lose_reads=100)
         ended = fleet.try_cli("config", "history")
         assert ended.returncode == 4
         assert ended.stderr.startswith("vanillawell: store gave no answer")
--- a/vanillawell/tests/security_tests.py
+++ b/vanillawell/tests/security_tests.py
@@ -153,7 +153,7 @@
     ) as fleet:
         assert fleet.cli("node", "set", "guild", "limit=5", "--wait")["entries"] == 1
         assert {row["author"] for row in fleet.cli("config", "history")} == {USER}
-        fleet.end_store_tokens()
+        fleet.revoke_store_tokens()
         stamp = Call(method="POST", mark="stamp", idempotency_key=uuid7(int(time.time() * 1000)))
         wait_until(
             lambda: send_one(fleet.entries["entry-1-1"], stamp).status == 200,
--- a/vanillawell/tests/silence_proof_tests.py
+++ b/vanillawell/tests/silence_proof_tests.py
@@ -57,8 +57,8 @@
     A watch on a silent connection reports nothing, and a configuration would never arrive.
     """
     with running_fleet(tmp_path, **THREE_ZONES) as fleet:
-        fleet.fault("store", "silence-old", link="store")
-        fleet.fault("peers", "silence-old", link="peer")
+        fleet.set_fault("store", "silence-old", link="store")
+        fleet.set_fault("peers", "silence-old", link="peer")
         started = time.monotonic()
         fleet.cli("node", "set", "guild", "limit=5")
         wait_until(lambda: min(versions(fleet)) == 2, "the change is in force everywhere")
@@ -71,8 +71,8 @@
     That zone hears of changes only from its peers, over connections that must be new ones.
     """
     with running_fleet(tmp_path, **THREE_ZONES) as fleet:
-        fleet.fault("cut", "cut", link="store-1")
-        fleet.fault("peers", "silence-old", link="peer")
+        fleet.set_fault("cut", "cut", link="store-1")
+        fleet.set_fault("peers", "silence-old", link="peer")
         fleet.cli("node", "set", "guild", "limit=5")
         wait_until(lambda: min(versions(fleet)) == 2, "the change is in force everywhere")
 
@@ -80,8 +80,8 @@
 def test_one_way_cuts_between_zones_do_not_keep_a_change_away(tmp_path: Path) -> None:
     """Zone 1 has lost the store and can open no connection, but others can reach it."""
     with running_fleet(tmp_path, **THREE_ZONES) as fleet:
-        fleet.fault("store", "cut", link="store-1")
-        fleet.fault("out", "cut", link="peer", source_zone=1)
+        fleet.set_fault("store", "cut", link="store-1")
+        fleet.set_fault("out", "cut", link="peer", source_zone=1)
         fleet.cli("node", "set", "guild", "limit=5")
         wait_until(lambda: min(versions(fleet)) == 2, "the change is in force everywhere")
 
@@ -93,8 +93,8 @@
     made minutes after a cut is no less urgent than one made in its first second.
     """
     with running_fleet(tmp_path, **THREE_ZONES) as fleet:
-        fleet.fault("store", "cut", link="store-1")
-        fleet.fault("out", "cut", link="peer", source_zone=1)
+        fleet.set_fault("store", "cut", link="store-1")
+        fleet.set_fault("out", "cut", link="peer", source_zone=1)
         others = [entry for entry in fleet.entries.values() if entry.zone != 1]
         wait_until(
             lambda: all(entry.status()["entries"] == len(others) for entry in others),
@@ -119,8 +119,8 @@
 def test_a_zone_that_can_send_but_not_be_reached_hears_of_a_change(tmp_path: Path) -> None:
     """Zone 1 has lost the store and nobody can open a connection to it, but it can to others."""
     with running_fleet(tmp_path, **THREE_ZONES) as fleet:
-        fleet.fault("store", "cut", link="store-1")
-        fleet.fault("in", "cut", link="peer", target_zone=1)
+        fleet.set_fault("store", "cut", link="store-1")
+        fleet.set_fault("in", "cut", link="peer", target_zone=1)
         fleet.cli("node", "set", "guild", "limit=5")
         wait_until(lambda: min(versions(fleet)) == 2, "the change is in force everywhere")
 
@@ -146,7 +146,7 @@
     Its unit of the limit and its executor's slot must come free all the same.
     """
     with running_fleet(tmp_path, organisations={"guild": {"limit": 1}}) as fleet:
-        fleet.behave([], answer_bytes=60_000_000)
+        fleet.set_behaviour([], answer_bytes=60_000_000)
         entry = fleet.entries["entry-1-1"]
         with open_request(entry, "GET /check/item HTTP/1.1") as connection:
             connection.sendall(b"\r\n")
@@ -154,5 +154,5 @@
             wait_until(
                 lambda: entry.status()["organisations"]["guild"]["running"] == 0, "it is given up"
             )
-        fleet.behave([], answer_bytes=0)
+        fleet.set_behaviour([], answer_bytes=0)
         wait_until(lambda: send_one(entry, Call()).status == 200, "the next request runs")
--- a/vanillawell/tests/startup_tests.py
+++ b/vanillawell/tests/startup_tests.py
@@ -23,7 +23,7 @@
     with running_fleet(tmp_path) as fleet:
         entry = fleet.entries["entry-1-1"]
         entry.process.kill()
-        fleet.store_faults(down=True)
+        fleet.set_store_faults(down=True)
         before = entry.process.log_text.count('"unreachable"')
         entry.process.start()
         wait_until(
@@ -33,7 +33,7 @@
         tries = leases_asked_for(fleet)
         wait_until(lambda: leases_asked_for(fleet) >= tries + 4, "it goes on trying")
         assert not entry.ready
-        fleet.store_faults(down=False)
+        fleet.set_store_faults(down=False)
         wait_until(lambda: send_one(entry, Call()).status == 200, "it serves")
         assert entry.process.log_text.count('"unreachable"') == before + 1
 
@@ -66,9 +66,9 @@
         entry, other = fleet.entries["entry-1-2"], fleet.entries["entry-1-1"]
         entry.process.kill()
         wait_until(lambda: other.status()["entries"] == 1, "the other one has forgotten it")
-        fleet.store_faults(down=True)
+        fleet.set_store_faults(down=True)
         entry.process.start()
         wait_until(lambda: entry.ready, "it has a configuration")
         wait_until(lambda: send_one(entry, Call()).problem == "no-limit-units", "it holds nothing")
-        fleet.store_faults(down=False)
+        fleet.set_store_faults(down=False)
         wait_until(lambda: send_one(entry, Call()).status == 200, "it serves")
