--- a/vanillawell/standins/deployment.py
+++ b/vanillawell/standins/deployment.py
@@ -85,7 +85,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ExecutorPlace:
+class ExecutorPlacement:
     """One executor of a deployment."""
 
     name: str
@@ -110,7 +110,7 @@
     ]
 
 
-def executor_places(deployment: Deployment) -> list[ExecutorPlace]:
+def executor_placements(deployment: Deployment) -> list[ExecutorPlacement]:
     """Place each service's executors: four in a rack of one zone, the rest in the next zone."""
     served = [
         _place(deployment, index, service, number)
@@ -120,15 +120,15 @@
     return served + [_spare(deployment, number) for number in range(deployment.spares)]
 
 
-def _spare(deployment: Deployment, number: int) -> ExecutorPlace:
+def _spare(deployment: Deployment, number: int) -> ExecutorPlacement:
     zone = number % deployment.zones + 1
-    return ExecutorPlace(f"spare-{number + 1}", SPARE, zone, f"rack-{zone}-spare-{number + 1}")
+    return ExecutorPlacement(f"spare-{number + 1}", SPARE, zone, f"rack-{zone}-spare-{number + 1}")
 
 
-def _place(deployment: Deployment, index: int, service: str, number: int) -> ExecutorPlace:
+def _place(deployment: Deployment, index: int, service: str, number: int) -> ExecutorPlacement:
     block = number // RACK_SIZE
     zone = (index + block) % deployment.zones + 1
-    return ExecutorPlace(
+    return ExecutorPlacement(
         name=f"{service}-{number + 1}",
         service=service,
         zone=zone,
@@ -175,6 +175,6 @@
             "zone": zone_name(place.zone),
             "rack": place.rack,
         }
-        for place in executor_places(deployment)
+        for place in executor_placements(deployment)
         if place.service == service
     }
--- a/vanillawell/standins/fleet.py
+++ b/vanillawell/standins/fleet.py
@@ -1,4 +1,4 @@
-"""Run a whole emulated fleet: platform, backend servers, network and entries."""
+"""Run an emulated fleet: platform, backend servers, network proxies and entries."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from vanillawell.standins.deployment import (
     Deployment,
     entry_names,
-    executor_places,
+    executor_placements,
     operator_tree,
     zone_name,
 )
@@ -35,12 +35,12 @@
 LOOPBACK = "127.0.0.1"
 
 ENTRY_HOST = "127.0.{zone}.{number}"
-"""Address of an entry; the proxy tells zones by it."""
+"""Address of an entry; the proxy derives the zone of a connection from it."""
 
 
 @dataclass(frozen=True, slots=True)
 class EntryPorts:
-    """Ports of one entry; `advertised` leads to `peer` through the proxy."""
+    """Ports of one entry; the proxy forwards `advertised` to `peer`."""
 
     caller: int
     admin: int
@@ -49,7 +49,7 @@
 
 
 class EntryHandle:
-    """One entry of the fleet."""
+    """Control one entry of the fleet."""
 
     def __init__(
         self,
@@ -60,7 +60,7 @@
         ports: EntryPorts,
         access: AccessOptions,
     ):
-        self._door = access
+        self._access = access
         self.name = name
         self.zone = zone
         self.host = ENTRY_HOST.format(zone=zone, number=number)
@@ -69,49 +69,52 @@
 
     @property
     def ready(self) -> bool:
-        """Tell whether the balancer may send callers to it."""
+        """Return whether the entry reports that the load balancer may send it requests."""
         return self.process.running and responds_ok(
-            self.host, self.ports.admin, "/ready", self._door
+            self.host, self.ports.admin, "/ready", self._access
         )
 
     def status(self) -> Any:
-        """Return its status document."""
-        return call(self.host, self.ports.admin, "/status", access=self._door)
+        """Return the status document of the entry."""
+        return call(self.host, self.ports.admin, "/status", access=self._access)
 
     def metrics(self) -> str:
-        """Return its metrics page."""
-        with httpcore.ConnectionPool(ssl_context=self._door.context) as pool:
-            url = f"{self._door.scheme}://{self.host}:{self.ports.admin}/metrics"
+        """Return the metrics of the entry in the text format."""
+        with httpcore.ConnectionPool(ssl_context=self._access.context) as pool:
+            url = f"{self._access.scheme}://{self.host}:{self.ports.admin}/metrics"
             return pool.request("GET", url).content.decode()
 
 
 class Fleet:
-    """Own all processes of one emulated deployment."""
+    """Manage all processes of one emulated deployment."""
 
     def __init__(self, deployment: Deployment, folder: Path) -> None:
         self.deployment = deployment
         self._folder = folder
         self.cli_options: list[str] = list(deployment.cli_options)
-        self._places = executor_places(deployment)
-        self._executor_ports = {place.name: free_port() for place in self._places}
-        self._executor_links = {place.name: free_port() for place in self._places}
+        self._executors = executor_placements(deployment)
+        self._executor_ports = {executor.name: free_port() for executor in self._executors}
+        self._executor_link_ports = {executor.name: free_port() for executor in self._executors}
         self._store_port = free_port()
-        self._store_links = {zone: free_port() for zone in range(1, deployment.zones + 1)}
+        self._store_link_ports = {zone: free_port() for zone in range(1, deployment.zones + 1)}
         self._control_ports = {name: free_port() for name in ("backend", "network", "wires")}
         self._seed_port = free_port()
         self.entries = {
-            name: self._entry(name, zone, number) for name, zone, number in entry_names(deployment)
+            name: self._build_entry(name, zone, number)
+            for name, zone, number in entry_names(deployment)
         }
-        self.platform = self._process(
+        self.platform = self._build_process(
             "platform", "vanillawell.standins.platform", ["--port", str(self._store_port)]
         )
-        self.backend = self._process(
+        self.backend = self._build_process(
             "backend", "vanillawell.standins.backend", self._backend_arguments()
         )
-        self.network = self._process(
-            "network", "vanillawell.standins.proxy", self._network_arguments()
+        self.executor_proxy = self._build_process(
+            "network", "vanillawell.standins.proxy", self._executor_proxy_arguments()
+        )
+        self.control_proxy = self._build_process(
+            "wires", "vanillawell.standins.proxy", self._control_proxy_arguments()
         )
-        self.wires = self._process("wires", "vanillawell.standins.proxy", self._wire_arguments())
 
     def __enter__(self) -> Fleet:
         try:
@@ -131,24 +134,24 @@
 
     @property
     def store_address(self) -> str:
-        """Return the store's own address, past the proxy."""
+        """Return the address of the store itself, not of a proxy link."""
         return f"{LOOPBACK}:{self._store_port}"
 
-    def _process(self, name: str, module: str, arguments: list[str]) -> Process:
+    def _build_process(self, name: str, module: str, arguments: list[str]) -> Process:
         return Process(name, module, arguments, self._folder / f"{name}.log")
 
-    def _entry(self, name: str, zone: int, number: int) -> EntryHandle:
+    def _build_entry(self, name: str, zone: int, number: int) -> EntryHandle:
         first = (zone, number) == (1, 1)
         advertised = self._seed_port if first else free_port()
         ports = EntryPorts(free_port(), free_port(), free_port(), advertised)
         path = self._folder / f"{name}.jsonc"
         host = ENTRY_HOST.format(zone=zone, number=number)
         path.write_bytes(orjson.dumps(self._entry_settings(name, zone, host, ports)))
-        process = self._process(name, "vanillawell.daemon", [str(path)])
-        return EntryHandle(name, zone, number, process, ports, self._door())
+        process = self._build_process(name, "vanillawell.daemon", [str(path)])
+        return EntryHandle(name, zone, number, process, ports, self._admin_access())
 
-    def _door(self) -> AccessOptions:
-        """Return how admin ports are reached, by the entries' settings."""
+    def _admin_access(self) -> AccessOptions:
+        """Return the TLS context and token for admin ports from the settings of the entries."""
         settings = self.deployment.entry_settings
         trust = settings.get("admin_trust")
         context = ssl.create_default_context(cafile=trust["authorities"]) if trust else None
@@ -166,17 +169,17 @@
             "peer": {"host": host, "port": ports.peer},
             "peer_advertised": {"host": LOOPBACK, "port": ports.advertised},
             "store": {
-                "address": {"host": LOOPBACK, "port": self._store_links[zone]},
+                "address": {"host": LOOPBACK, "port": self._store_link_ports[zone]},
                 **self.deployment.store,
             },
             "timing": self.deployment.timing,
-            "seeds": self._seeds(name),
+            "seeds": self._seed_addresses(name),
             "experiment": self.deployment.experiment,
-            "platform": {"host": LOOPBACK, "port": self._store_links[zone]},
+            "platform": {"host": LOOPBACK, "port": self._store_link_ports[zone]},
             **self.deployment.entry_settings,
         }
 
-    def _seeds(self, name: str) -> list[dict[str, object]]:
+    def _seed_addresses(self, name: str) -> list[dict[str, object]]:
         seeded = self.deployment.seeded and name != "entry-1-1"
         return [{"host": LOOPBACK, "port": self._seed_port}] if seeded else []
 
@@ -186,41 +189,42 @@
         options = ["--control", control, "--slots", str(self.deployment.slots)]
         return [*options, *self.deployment.backend_options, *executors]
 
-    def _network_arguments(self) -> list[str]:
-        """Return the links to executors; they carry the load."""
+    def _executor_proxy_arguments(self) -> list[str]:
+        """Return the arguments of the proxy between entries and executors."""
         links = [
-            f"executor-{place.name},{self._executor_links[place.name]},{LOOPBACK},"
-            f"{self._executor_ports[place.name]},{place.zone}"
-            for place in self._places
+            f"executor-{executor.name},{self._executor_link_ports[executor.name]},{LOOPBACK},"
+            f"{self._executor_ports[executor.name]},{executor.zone}"
+            for executor in self._executors
         ]
         return ["--control", str(self._control_ports["network"]), *links]
 
-    def _wire_arguments(self) -> list[str]:
-        """Return the links to the store and between entries; they carry control."""
-        stores = [
+    def _control_proxy_arguments(self) -> list[str]:
+        """Return the arguments of the proxy to the store and between entries."""
+        store_links = [
             f"store-{zone},{port},{LOOPBACK},{self._store_port},0"
-            for zone, port in self._store_links.items()
+            for zone, port in self._store_link_ports.items()
         ]
-        peers = [
+        peer_links = [
             f"peer-{entry.name},{entry.ports.advertised},{entry.host},{entry.ports.peer},"
             f"{entry.zone}"
             for entry in self.entries.values()
         ]
-        return ["--control", str(self._control_ports["wires"]), *stores, *peers]
+        return ["--control", str(self._control_ports["wires"]), *store_links, *peer_links]
 
     def start(self, entries: bool = True) -> None:
-        """Start everything, push the configuration and wait until all entries are ready."""
-        for process in (self.platform, self.backend, self.network, self.wires):
+        """Start the emulators, push the configuration and, by default, start the entries."""
+        for process in (self.platform, self.backend, self.executor_proxy, self.control_proxy):
             process.start()
         wait_until(
-            lambda: responds_ok(LOOPBACK, self._store_port, "/control/counts"), "the platform"
+            lambda: responds_ok(LOOPBACK, self._store_port, "/control/counts"),
+            "the platform responds",
         )
         if self.deployment.store_users:
             call(LOOPBACK, self._store_port, "/control/users", self.deployment.store_users)
         for name, port in self._control_ports.items():
             wait_until(lambda p=port: responds_ok(LOOPBACK, p, "/control/counts"), name)  # type: ignore[misc]
         for service, plan in self.deployment.services.items():
-            names = [place.name for place in self._places if place.service == service]
+            names = [executor.name for executor in self._executors if executor.service == service]
             self.set_behaviour(names, mean_seconds=plan.mean_seconds)
         self._set_delays()
         self.set_up_machines()
@@ -229,7 +233,7 @@
             self.start_entries()
 
     def start_entries(self) -> None:
-        """Start all entries and wait until they are ready and know each other."""
+        """Start all entries and wait until they are ready and list each other."""
         for entry in self.entries.values():
             entry.process.start()
         for entry in self.entries.values():
@@ -237,130 +241,130 @@
         for entry in self.entries.values():
             wait_until(
                 lambda e=entry: e.status()["entries"] == len(self.entries),  # type: ignore[misc]
-                f"{entry.name} knows all entries",
+                f"{entry.name} lists all entries",
             )
 
     def _set_delays(self) -> None:
         seconds = self.deployment.zone_delay_ms / 1000
         zones = range(1, self.deployment.zones + 1)
-        for near in zones if seconds else ():
-            for far in (zone for zone in zones if zone != near):
+        for source_zone in zones if seconds else ():
+            for target_zone in (zone for zone in zones if zone != source_zone):
                 self.set_fault(
-                    f"latency-{near}-{far}",
+                    f"latency-{source_zone}-{target_zone}",
                     "delay",
                     seconds=seconds,
-                    source_zone=near,
-                    target_zone=far,
+                    source_zone=source_zone,
+                    target_zone=target_zone,
                 )
 
     def close(self) -> None:
-        """End every process."""
+        """Kill all processes that still run."""
         processes = [entry.process for entry in self.entries.values()]
-        processes += [self.platform, self.backend, self.network, self.wires]
+        processes += [self.platform, self.backend, self.executor_proxy, self.control_proxy]
         for process in processes:
             if process.running:
                 process.resume()
                 process.kill()
 
     def executor_target(self, name: str) -> Target:
-        """Return an executor's own address, past the proxy."""
+        """Return the address of an executor itself, not of its proxy link."""
         return Target(LOOPBACK, self._executor_ports[name])
 
     def tree_document(self) -> dict[str, Any]:
-        """Return the operators' tree of the deployment as plain data."""
-        tree = operator_tree(self.deployment, self._executor_links)
+        """Return the operators' configuration tree of the deployment as plain data."""
+        tree = operator_tree(self.deployment, self._executor_link_ports)
         return tree.model_dump(mode="json", exclude_defaults=True)
 
     def push(self, document: dict[str, Any], *options: str) -> Any:
-        """Push a tree by the command line and return what it prints."""
+        """Push a configuration tree by the command line and return its JSON output."""
         path = self._folder / "tree.jsonc"
         path.write_bytes(orjson.dumps(document))
         return self.cli("config", "push", str(path), *options)
 
     def cli(self, *arguments: str) -> Any:
-        """Run the operators' command line and return its JSON output."""
-        done = self.try_cli(*arguments)
-        if done.returncode:
-            raise AssertionError(f"{arguments}: {done.stderr}")
-        return orjson.loads(done.stdout) if done.stdout.strip() else None
+        """Run the operators' command line and return its JSON output; fail on an error status."""
+        result = self.try_cli(*arguments)
+        if result.returncode:
+            raise AssertionError(f"{arguments}: {result.stderr}")
+        return orjson.loads(result.stdout) if result.stdout.strip() else None
 
     def try_cli(self, *arguments: str) -> subprocess.CompletedProcess[str]:
-        """Run the operators' command line, whatever its exit status."""
-        base = ["--store", self.store_address, "--output", "json", *self.cli_options]
-        command = [sys.executable, "-m", "vanillawell.cli", *base, *arguments]
+        """Run the operators' command line and return its result whatever the exit status."""
+        options = ["--store", self.store_address, "--output", "json", *self.cli_options]
+        command = [sys.executable, "-m", "vanillawell.cli", *options, *arguments]
         return subprocess.run(command, capture_output=True, text=True, check=False)
 
     def set_fault(self, name: str, kind: str, **fields: object) -> None:
-        """Put a network fault in force on all links that it matches."""
+        """Set a network fault on all links that it matches."""
         for proxy in ("network", "wires"):
             document = {"name": name, "kind": kind, **fields}
             call(LOOPBACK, self._control_ports[proxy], "/control/set", document)
 
     def clear_fault(self, name: str) -> None:
-        """End a network fault."""
+        """Clear a network fault."""
         for proxy in ("network", "wires"):
             call(LOOPBACK, self._control_ports[proxy], "/control/clear", {"name": name})
 
     def network_counts(self) -> Any:
-        """Return connections and struck faults of the links to executors."""
+        """Return the counts of connections and applied faults on the links to executors."""
         return call(LOOPBACK, self._control_ports["network"], "/control/counts")
 
     def set_store_faults(self, **fields: object) -> None:
-        """Let the store be down, slow, or lose answers."""
+        """Set the faults of the store: down, slow, or losing responses."""
         call(LOOPBACK, self._store_port, "/control/faults", fields)
 
     def revoke_store_tokens(self) -> None:
-        """Let the store forget who has logged in."""
+        """Invalidate all authentication tokens of the store."""
         call(LOOPBACK, self._store_port, "/control/users", self.deployment.store_users)
 
     def store_counts(self) -> Any:
-        """Return the calls that the store has counted."""
+        """Return the store's counts of calls and open watches."""
         return call(LOOPBACK, self._store_port, "/control/counts")
 
     def set_behaviour(self, executors: list[str], **fields: object) -> None:
-        """Change how executors behave; an empty list means all."""
+        """Change the behaviour of executors; an empty list means all."""
         document = {"executors": executors, **fields}
         call(LOOPBACK, self._control_ports["backend"], "/control/behaviour", document)
 
     def set_up_machines(self, **fields: object) -> None:
-        """Tell the platform which instances it runs, and how slow it is."""
-        homes = {place.name: f"pool-{place.service}" for place in self._places}
+        """Configure the instances of the platform and its delays."""
+        homes = {executor.name: f"pool-{executor.service}" for executor in self._executors}
         document = {"homes": homes, **fields}
         call(LOOPBACK, self._store_port, "/control/machines", document)
 
     def fail_instances(self, instances: list[str], seconds: float) -> None:
-        """Let instances fail without warning."""
+        """Make instances fail without notice for some seconds."""
         document = {"instances": instances, "seconds": seconds}
         call(LOOPBACK, self._store_port, "/control/fail", document)
 
     def remove_permanently(self, entry: EntryHandle) -> None:
-        """Kill an entry whose instance is gone for good."""
+        """Kill an entry and report its instance to be gone permanently."""
         entry.process.kill()
         call(LOOPBACK, self._store_port, "/control/gone", {"instances": [entry.name]})
 
     def set_up_workers(self, **fields: object) -> None:
-        """Tell the platform which workers it has, and which jobs cannot run."""
+        """Configure the workers of the platform and the jobs that fail."""
         call(LOOPBACK, self._store_port, "/control/workers", fields)
 
     def finished_jobs(self) -> Any:
-        """Return the jobs that workers have done, and how many tasks were stopped."""
+        """Return the jobs that workers have completed and the number of stopped tasks."""
         return call(LOOPBACK, self._store_port, "/control/finished")
 
     def availability_record(self) -> Any:
-        """Return the platform's true record of available instances."""
+        """Return the platform's record of minimum availability, moves and reboots."""
         return call(LOOPBACK, self._store_port, "/control/margins")
 
     def backend_counts(self) -> Any:
-        """Return what all executors together have counted."""
+        """Return the counts of all executors together."""
         return call(LOOPBACK, self._control_ports["backend"], "/control/counts")
 
     def backend_runs(self) -> list[dict[str, Any]]:
-        """Return every request that an executor has run."""
+        """Return a record of each request that an executor has run."""
         runs: list[dict[str, Any]] = call(
             LOOPBACK, self._control_ports["backend"], "/control/runs"
         )["runs"]
         return runs
 
     def reset_backend(self) -> None:
-        """Forget what executors have counted."""
+        """Reset the counts and run records of all executors."""
         call(LOOPBACK, self._control_ports["backend"], "/control/reset", {})
--- a/vanillawell/standins/processes.py
+++ b/vanillawell/standins/processes.py
@@ -1,6 +1,6 @@
-"""Start and steer the processes of an emulated fleet.
+"""Start and control the processes of an emulated fleet.
 
-Only the emulator starts processes; no process of the product does.
+Only the emulators start processes; vanillawell itself never does.
 """
 
 from __future__ import annotations
@@ -24,53 +24,53 @@
     from pathlib import Path
 
 FIRST_PORT = 2_000
-"""Ports are taken from here on."""
+"""Lowest port that is handed out."""
 
 LAST_PORT = 15_000
-"""Below the range that the system gives to clients' sockets, which would collide."""
+"""Upper bound of the ports; the ephemeral ports of client sockets lie above and would collide."""
 
-BLOCK = 1_000
-"""Ports of one process; the largest fleet takes some two hundred."""
+PORTS_PER_PROCESS = 1_000
+"""Ports reserved for one test process; the largest fleet uses about two hundred."""
 
-FIRST_GUARD = 1_900
-"""Guard ports that say which blocks are taken, one for each block."""
+FIRST_GUARD_PORT = 1_900
+"""First of the guard ports, one for each block of ports; a bound one marks its block as taken."""
 
 WAIT_TIMEOUT = 30.0
-"""Seconds after which a condition that does not come true is an error."""
+"""Seconds to wait for a condition or for the end of a process."""
 
 POLL_INTERVAL = 0.02
-"""Seconds between two looks at a condition."""
+"""Seconds between two checks of a condition."""
 
 CALL_TIMEOUT = {"connect": 2.0, "read": 10.0, "write": 5.0, "pool": 5.0}
-"""Bounds of a control call, in seconds."""
+"""Timeouts of a control call, in seconds."""
 
 
 class NeverTrueError(AssertionError):
-    """A condition did not come true in time."""
+    """A condition was not met within the timeout, or no ports are free."""
 
 
-def _claim_block() -> tuple[socket.socket, range]:
-    """Claim a block of ports for this process alone, by a guard port that stays bound.
+def _reserve_ports() -> tuple[socket.socket, range]:
+    """Reserve a block of ports for this process by a guard port that stays bound.
 
-    A port found free may be taken by another fleet before it is used, if several are started side
-    by side; the guard keeps their blocks apart for as long as their processes live.
+    A port that was free when checked may be taken by another fleet before it is used if several
+    are started at the same time. The guard ports keep their blocks apart while the processes run.
     """
-    for number in range((LAST_PORT - FIRST_PORT) // BLOCK):
-        guard = socket.socket()
+    for index in range((LAST_PORT - FIRST_PORT) // PORTS_PER_PROCESS):
+        guard_socket = socket.socket()
         try:
-            guard.bind(("127.0.0.1", FIRST_GUARD + number))
+            guard_socket.bind(("127.0.0.1", FIRST_GUARD_PORT + index))
         except OSError:
-            guard.close()
+            guard_socket.close()
             continue
-        first = FIRST_PORT + number * BLOCK
-        return guard, range(first, first + BLOCK)
-    raise NeverTrueError("no block of ports is free for another fleet")
+        first = FIRST_PORT + index * PORTS_PER_PROCESS
+        return guard_socket, range(first, first + PORTS_PER_PROCESS)
+    raise NeverTrueError("all blocks of ports are taken by other fleets")
 
 
-def _ports() -> Iterator[int]:
-    guard, block = _claim_block()
-    with guard:
-        for port in itertools.cycle(block):
+def _free_ports() -> Iterator[int]:
+    guard_socket, ports = _reserve_ports()
+    with guard_socket:
+        for port in itertools.cycle(ports):
             if _is_free(port):
                 yield port
 
@@ -84,26 +84,28 @@
         return True
 
 
-_PORTS = _ports()
+_FREE_PORTS = _free_ports()
 
 
 def free_port() -> int:
-    """Return a port that nothing listens on and that is given out once."""
-    return next(_PORTS)
+    """Return a port that nothing listens on; ports recur only after the whole block was used."""
+    return next(_FREE_PORTS)
 
 
-def wait_until(condition: Callable[[], bool], what: str, timeout: float = WAIT_TIMEOUT) -> None:
-    """Wait for a condition to come true; raises NeverTrueError that says `what`."""
+def wait_until(
+    condition: Callable[[], bool], description: str, timeout: float = WAIT_TIMEOUT
+) -> None:
+    """Wait until a condition is met; raise NeverTrueError with `description` on timeout."""
     deadline = time.monotonic() + timeout
     while not condition():
         if time.monotonic() > deadline:
-            raise NeverTrueError(f"not within {timeout:g} s: {what}")
+            raise NeverTrueError(f"condition not met within {timeout:g} s: {description}")
         time.sleep(POLL_INTERVAL)
 
 
 @dataclass(frozen=True, slots=True)
 class AccessOptions:
-    """How a port is reached that asks for more than an address."""
+    """TLS context and token for calls to a port that requires them."""
 
     context: ssl.SSLContext | None = None
     token: str = ""
@@ -115,18 +117,18 @@
 
     @property
     def headers(self) -> dict[bytes | str, bytes | str]:
-        """Return the headers that prove who calls."""
+        """Return the headers that authenticate the caller."""
         return {"authorization": f"Bearer {self.token}"} if self.token else {}
 
 
 PLAIN_HTTP = AccessOptions()
-"""Plain HTTP without a token."""
+"""Access by plain HTTP without a token."""
 
 
 def call(
     host: str, port: int, path: str, document: object = None, access: AccessOptions = PLAIN_HTTP
 ) -> Any:
-    """Make one control call and return the answer's document."""
+    """Make one control call and return the decoded JSON response."""
     method = "GET" if document is None else "POST"
     content = None if document is None else orjson.dumps(document)
     with httpcore.ConnectionPool(ssl_context=access.context) as pool:
@@ -141,7 +143,7 @@
 
 
 def responds_ok(host: str, port: int, path: str, access: AccessOptions = PLAIN_HTTP) -> bool:
-    """Tell whether a call succeeds with status 200."""
+    """Return whether a GET request succeeds with status 200."""
     try:
         with httpcore.ConnectionPool(ssl_context=access.context) as pool:
             url = f"{access.scheme}://{host}:{port}{path}"
@@ -158,64 +160,64 @@
         self._module = module
         self._arguments = arguments
         self._log = log
-        self._child: subprocess.Popen[bytes] | None = None
+        self._popen: subprocess.Popen[bytes] | None = None
 
     @property
     def pid(self) -> int:
         """Return the process id; 0 before the start."""
-        return self._child.pid if self._child else 0
+        return self._popen.pid if self._popen else 0
 
     @property
     def log_text(self) -> str:
-        """Return all that it has logged."""
+        """Return the content of the log file."""
         return self._log.read_text() if self._log.exists() else ""
 
     @property
     def running(self) -> bool:
-        """Tell whether it has not ended."""
-        return self._child is not None and self._child.poll() is None
+        """Return whether the process has been started and has not ended."""
+        return self._popen is not None and self._popen.poll() is None
 
     def start(self) -> None:
-        """Start it, appending to its log file."""
+        """Start the process, appending its output to the log file."""
         command = [sys.executable, "-m", self._module, *self._arguments]
         with self._log.open("ab") as log:
-            self._child = subprocess.Popen(command, stdout=log, stderr=log)
+            self._popen = subprocess.Popen(command, stdout=log, stderr=log)
 
-    def signal(self, number: signal.Signals) -> None:
-        """Send a signal."""
-        if self._child:
-            self._child.send_signal(number)
+    def signal(self, signal_number: signal.Signals) -> None:
+        """Send a signal to the process if it was started."""
+        if self._popen:
+            self._popen.send_signal(signal_number)
 
     def kill(self) -> None:
-        """Kill it without warning."""
+        """Kill the process with SIGKILL and wait for its end."""
         self.signal(signal.SIGKILL)
         self.wait()
 
     def pause(self) -> None:
-        """Stop its execution until `resume`."""
+        """Suspend the process until `resume`."""
         self.signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Go on after `pause`."""
+        """Continue the process after `pause`."""
         self.signal(signal.SIGCONT)
 
     def stop(self) -> int:
-        """Ask it to stop as planned, and return its exit status."""
+        """Request a graceful stop with SIGTERM and return the exit status."""
         self.signal(signal.SIGTERM)
         return self.wait()
 
     def wait(self, timeout: float = WAIT_TIMEOUT) -> int:
-        """Wait for its end and return its exit status."""
-        return self._child.wait(timeout) if self._child else 0
+        """Wait for the end of the process and return its exit status."""
+        return self._popen.wait(timeout) if self._popen else 0
 
     def cpu_seconds(self) -> float:
-        """Return the processor time it has used."""
+        """Return the processor time that the process has used."""
         with open(f"/proc/{self.pid}/stat", encoding="ascii") as stat:  # noqa: PTH123
             fields = stat.read().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
     def resident_kilobytes(self) -> int:
-        """Return its resident memory."""
+        """Return the resident memory of the process."""
         with open(f"/proc/{self.pid}/status", encoding="ascii") as status:  # noqa: PTH123
             line = next(line for line in status if line.startswith("VmRSS"))
         return int(line.split()[1])
