--- a/vanillawell/standins/machines.py
+++ b/vanillawell/standins/machines.py
@@ -1,7 +1,7 @@
-"""Play the platform's instances: a lagging list, reboots, failures, and a true record.
+"""Emulate the platform's instances: a lagging list, reboots and failures.
 
-The record is what tests judge by: at every change of the assignment or of an instance it counts
-how many instances of each pool are really available, and keeps the smallest number.
+An availability record, which tests check, is updated at each change of the assignment or of an
+instance. It counts the instances of each pool that are really available and keeps the minimum.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 import anyio
 import orjson
 
-TICK = 0.05
-"""Seconds between two looks at instances whose time is up."""
+UPDATE_INTERVAL = 0.05
+"""Seconds between two updates of the states of reboots and failed instances."""
 
 
 @dataclass(slots=True)
 class Reboot:
-    """One reboot by its operation's id."""
+    """One reboot, which is identified by the id of its operation."""
 
     instance: str
     started: float
@@ -29,11 +29,11 @@
 
 
 @dataclass(slots=True)
-class Setup:
-    """What a test says of the platform."""
+class MachineSetup:
+    """Settings of the emulated instances, as sent by a test."""
 
     homes: dict[str, str] = field(default_factory=dict)
-    """Pool of each instance when nothing is assigned otherwise."""
+    """Pool of each instance that the assignment does not place in another one."""
 
     reboot_seconds: float = 0.5
     list_lag: float = 0.5
@@ -41,89 +41,89 @@
 
 
 class Machines:
-    """Own the instances of the emulated platform."""
+    """Emulate the instances of the platform."""
 
     def __init__(self) -> None:
-        self._setup = Setup()
+        self._setup = MachineSetup()
         self._down_until: dict[str, float] = {}
         self._reboots: dict[str, Reboot] = {}
         self._placements: dict[str, dict[str, str]] = {}
-        self._listed: list[tuple[float, dict[str, str]]] = []
-        self._least: dict[str, int] = {}
-        self._least_planned: dict[str, int] = {}
+        self._state_history: list[tuple[float, dict[str, str]]] = []
+        self._min_available: dict[str, int] = {}
+        self._min_planned: dict[str, int] = {}
         self._moves = 0
         self._gone: set[str] = set()
 
     def set_up(self, request: dict[str, Any]) -> None:
-        """Take over what a test says."""
-        self._setup = Setup(**request)
-        self._record()
+        """Apply the settings sent by a test."""
+        self._setup = MachineSetup(**request)
+        self._record_availability()
 
-    def note_put(self, key: str, value: str) -> None:
-        """Take notice of a new assignment in the store."""
+    def record_assignment(self, key: str, value: str) -> None:
+        """Record a write to the store if it is a new assignment."""
         if b64decode(key).decode() != self._setup.assignment_key:
             return
-        before = dict(self._placements)
+        previous = dict(self._placements)
         document = orjson.loads(b64decode(value))
         self._placements = document["placements"]
         self._setup.homes |= document["wanted"]
         self._moves += sum(
-            item["pool"] != self._pool_before(before, name)
+            item["pool"] != self._previous_pool(previous, name)
             for name, item in self._placements.items()
         )
-        self._record()
+        self._record_availability()
 
-    def _pool_before(self, before: dict[str, dict[str, str]], name: str) -> str:
-        return before[name]["pool"] if name in before else self._setup.homes.get(name, "")
+    def _previous_pool(self, previous: dict[str, dict[str, str]], name: str) -> str:
+        return previous[name]["pool"] if name in previous else self._setup.homes.get(name, "")
 
     def fail(self, instances: list[str], seconds: float, now: float) -> None:
-        """Let instances fail without warning for some seconds."""
+        """Make instances fail without notice for some seconds."""
         self._down_until |= dict.fromkeys(instances, now + seconds)
-        self._record()
+        self._record_availability()
 
     def reboot(self, operation: str, instance: str, now: float) -> dict[str, str]:
-        """Start a reboot, or say how it goes; the same id never starts a second one."""
+        """Start a reboot or return its state; the same id never starts a second one."""
         if operation not in self._reboots:
             ends = now + self._setup.reboot_seconds
             self._reboots[operation] = Reboot(instance, now, ends)
             self._down_until[instance] = max(ends, self._down_until.get(instance, 0.0))
-            self._record()
+            self._record_availability()
         return {"state": "done" if self._reboots[operation].done else "running"}
 
     def remove_permanently(self, instances: list[str]) -> None:
-        """Let instances be gone, never to run again."""
+        """Mark instances as gone permanently."""
         self._gone.update(instances)
 
-    def state_of(self, instance: str) -> dict[str, str]:
-        """Say whether an instance is gone."""
+    def instance_state(self, instance: str) -> dict[str, str]:
+        """Return whether an instance is live or gone permanently."""
         return {"state": "gone" if instance in self._gone else "live"}
 
-    def listed(self, now: float) -> dict[str, Any]:
-        """Return the list of instances as it was some time ago."""
+    def list_instances(self, now: float) -> dict[str, Any]:
+        """Return the states of the instances as of `list_lag` seconds ago."""
         lag = self._setup.list_lag
-        old = [states for at, states in self._listed if at <= now - lag]
-        states = old[-1] if old else dict.fromkeys(self._setup.homes, "live")
+        lagged = [states for at, states in self._state_history if at <= now - lag]
+        states = lagged[-1] if lagged else dict.fromkeys(self._setup.homes, "live")
         return {"instances": states, "age": lag}
 
     async def run(self) -> None:
-        """Let time pass until cancelled."""
+        """Update reboots, failed instances and the listed states until cancelled."""
         while True:
-            await anyio.sleep(TICK)
+            await anyio.sleep(UPDATE_INTERVAL)
             now = anyio.current_time()
             for reboot in self._reboots.values():
                 reboot.done = reboot.done or reboot.ends <= now
-            ended = [name for name, until in self._down_until.items() if until <= now]
-            for name in ended:
+            recovered = [name for name, until in self._down_until.items() if until <= now]
+            for name in recovered:
                 del self._down_until[name]
-            self._record()
+            self._record_availability()
             states = {
                 name: "down" if name in self._down_until else "live" for name in self._setup.homes
             }
-            self._listed.append((now, states))
-            del self._listed[:-2000]
+            self._state_history.append((now, states))
+            del self._state_history[:-2000]
 
-    def _record(self) -> None:
-        """Count available instances, with and without those that failed by themselves."""
+    def _record_availability(self) -> None:
+        """Update the minimum counts of available instances, with and without unplanned failures."""
         rebooting = {item.instance for item in self._reboots.values() if not item.done}
         available: Counter[str] = Counter(dict.fromkeys(self._setup.homes.values(), 0))
         planned: Counter[str] = Counter(dict.fromkeys(self._setup.homes.values(), 0))
@@ -133,15 +133,15 @@
             planned[item["pool"]] += serving
             available[item["pool"]] += serving and name not in self._down_until
         for pool in available:
-            self._least[pool] = min(self._least.get(pool, 10**6), available[pool])
-            self._least_planned[pool] = min(self._least_planned.get(pool, 10**6), planned[pool])
+            self._min_available[pool] = min(self._min_available.get(pool, 10**6), available[pool])
+            self._min_planned[pool] = min(self._min_planned.get(pool, 10**6), planned[pool])
 
     def report(self) -> dict[str, Any]:
-        """Return the record."""
+        """Return the availability record, the moves and the reboots."""
         rebooted = Counter(item.instance for item in self._reboots.values())
         return {
-            "least_available": self._least,
-            "least_planned": self._least_planned,
+            "least_available": self._min_available,
+            "least_planned": self._min_planned,
             "moves": self._moves,
             "reboots": dict(rebooted),
             "windows": [[r.instance, r.started, r.ends] for r in self._reboots.values()],
--- a/vanillawell/standins/platform.py
+++ b/vanillawell/standins/platform.py
@@ -1,4 +1,4 @@
-"""Run the platform's stand-in: the store's JSON gateway, with faults that tests ask for."""
+"""Emulate the platform: the store's JSON gateway, instances and workers, with injected faults."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 from vanillawell.standins.machines import Machines
 from vanillawell.standins.store import (
-    HELD_FOREVER,
+    LOST_ANSWER_HOLD,
     WATCH_BACKLOG,
     AnswerLostError,
     MemoryStore,
     StoreDownError,
-    key_text,
+    decode_key,
 )
 from vanillawell.standins.workers import Workers
 from vanillawell.transport.asgi import (
@@ -30,18 +30,18 @@
     server,
 )
 
-LARGEST_VALUE = 2**20
-"""Bytes; the platform's service holds values up to a megabyte."""
+MAX_VALUE_BYTES = 2**20
+"""Bytes; the platform's store holds values up to a megabyte."""
 
 
 class PlatformApp:
-    """Answer gateway calls and the tests' control calls."""
+    """Serve the store's gateway, the platform's interface and the control calls of tests."""
 
     def __init__(self) -> None:
         self._store = MemoryStore()
         self._machines = Machines()
         self._workers = Workers()
-        self._store.on_put = self._machines.note_put
+        self._store.on_put = self._machines.record_assignment
         self._users: dict[str, str] = {}
         self._tokens: set[str] = set()
 
@@ -52,20 +52,20 @@
 
     @property
     def machines(self) -> Machines:
-        """Return the instances that the platform runs."""
+        """Return the emulated instances."""
         return self._machines
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer one request."""
+        """Serve one request."""
         if scope["type"] != "http":
             return
         path = scope["path"]
-        body = await read_body(receive, 4 * LARGEST_VALUE)
+        body = await read_body(receive, 4 * MAX_VALUE_BYTES)
         if path.startswith("/control/"):
             await self._control(path, body, send)
         elif path.startswith("/platform/"):
             await self._platform(path, orjson.loads(body or b"{}"), send)
-        elif path != "/v3/auth/authenticate" and not self._may_call(scope):
+        elif path != "/v3/auth/authenticate" and not self._is_authenticated(scope):
             await send_json(send, {"error": "etcdserver: invalid auth token", "code": 16}, 401)
         elif path == "/v3/watch":
             await self._watch(orjson.loads(body), receive, send)
@@ -81,14 +81,14 @@
         except StoreDownError:
             await send_json(send, {"error": "unavailable", "code": 14}, 503)
         except AnswerLostError:
-            await self._until_disconnect(receive)
+            await self._wait_for_disconnect(receive)
         except KeyError as error:
             await send_json(send, {"error": str(error), "code": 5}, 404)
         else:
             await send_json(send, answer)
 
     async def _authenticate(self, request: dict[str, str], send: Send) -> None:
-        """Give a token for a user's password, as etcd's gateway does."""
+        """Issue a token for a user's password, as etcd's gateway does."""
         if not self._users or self._users.get(request["name"]) != request["password"]:
             error = "etcdserver: authentication failed, invalid user ID or password"
             await send_json(send, {"error": error, "code": 3}, 400)
@@ -97,34 +97,34 @@
         self._tokens.add(token)
         await send_json(send, {"header": {}, "token": token})
 
-    def _may_call(self, scope: Scope) -> bool:
-        shown = next((v for name, v in scope["headers"] if name == b"authorization"), b"")
-        return not self._users or shown.decode() in self._tokens
+    def _is_authenticated(self, scope: Scope) -> bool:
+        token = next((v for name, v in scope["headers"] if name == b"authorization"), b"")
+        return not self._users or token.decode() in self._tokens
 
-    async def _until_disconnect(self, receive: Receive) -> None:
-        with anyio.move_on_after(HELD_FOREVER):
+    async def _wait_for_disconnect(self, receive: Receive) -> None:
+        with anyio.move_on_after(LOST_ANSWER_HOLD):
             while (await receive())["type"] != "http.disconnect":
                 continue
 
     async def _watch(self, request: dict[str, object], receive: Receive, send: Send) -> None:
-        give, take = anyio.create_memory_object_stream[bytes](WATCH_BACKLOG)
+        sender, receiver = anyio.create_memory_object_stream[bytes](WATCH_BACKLOG)
         try:
-            watch_id = self._store.open_watch(request, give)
+            watch_id = self._store.open_watch(request, sender)
         except StoreDownError:
             await send_json(send, {"error": "unavailable", "code": 14}, 503)
             return
         try:
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self._send_events, take, send)
-                await self._until_disconnect(receive)
+                tasks.start_soon(self._send_events, receiver, send)
+                await self._wait_for_disconnect(receive)
                 tasks.cancel_scope.cancel()
         finally:
             self._store.close_watch(watch_id)
 
-    async def _send_events(self, take: MemoryObjectReceiveStream[bytes], send: Send) -> None:
+    async def _send_events(self, receiver: MemoryObjectReceiveStream[bytes], send: Send) -> None:
         headers = [(b"content-type", b"application/json")]
         await send({"type": "http.response.start", "status": 200, "headers": headers})
-        async for frame in take:
+        async for frame in receiver:
             await send({"type": "http.response.body", "body": frame, "more_body": True})
 
     async def _platform(self, path: str, request: dict[str, Any], send: Send) -> None:
@@ -132,9 +132,9 @@
         if path.startswith(("/platform/workers", "/platform/tasks")):
             await send_json(send, self._workers.call(path, request, now))
         elif path == "/platform/instances":
-            await send_json(send, self._machines.listed(now))
+            await send_json(send, self._machines.list_instances(now))
         elif path.startswith("/platform/instances/"):
-            await send_json(send, self._machines.state_of(path.rpartition("/")[2]))
+            await send_json(send, self._machines.instance_state(path.rpartition("/")[2]))
         else:
             await send_json(send, self._machines.reboot(request["id"], request["instance"], now))
 
@@ -169,7 +169,7 @@
             case "/control/counts":
                 await send_json(send, self._counts())
             case "/control/keys":
-                keys = [key_text(key) for key in self._store.all_keys()]
+                keys = [decode_key(key) for key in self._store.all_keys()]
                 await send_json(send, {"keys": keys})
             case _:
                 await send_bytes(send, 404, b"")
@@ -179,7 +179,7 @@
 
 
 async def serve(host: str, port: int) -> None:
-    """Serve until the process is ended."""
+    """Serve until the process is terminated."""
     app = PlatformApp()
     listener = bind(host, port, "port")
     async with anyio.create_task_group() as tasks:
@@ -193,7 +193,7 @@
 def main(
     host: Annotated[str, typer.Option()] = "127.0.0.1", port: Annotated[int, typer.Option()] = 2379
 ) -> None:
-    """Run the platform's stand-in."""
+    """Run the platform emulator."""
     anyio.run(serve, host, port, backend_options={"use_uvloop": True})
 
 
--- a/vanillawell/standins/store.py
+++ b/vanillawell/standins/store.py
@@ -1,7 +1,7 @@
-"""Keep keys, leases and watches as the platform's store does, in memory.
+"""Emulate the platform's store in memory, with its keys, leases and watches.
 
-It covers the calls of the etcd v3 JSON gateway that the product makes, counts each (a waiting
-watch as one) and can be down, slow, or lose the answer of a write that took effect.
+It implements the calls of the etcd v3 JSON gateway that vanillawell makes and counts each (an open
+watch as one). It can be down, slow, or lose the response of a read or of a write that took effect.
 """
 
 from __future__ import annotations
@@ -18,21 +18,21 @@
 from anyio.streams.memory import MemoryObjectSendStream
 
 SWEEP_INTERVAL = 0.1
-"""Seconds between two searches for ended leases."""
+"""Seconds between two searches for expired leases."""
 
-HELD_FOREVER = 3600.0
-"""Seconds a lost answer is held; longer than any client waits."""
+LOST_ANSWER_HOLD = 3600.0
+"""Seconds that a request whose answer is lost stays open; longer than any client waits."""
 
 WATCH_BACKLOG = 10_000
-"""Events that one slow watcher may fall behind."""
+"""Responses that may be buffered for one slow watcher."""
 
 
 class StoreDownError(Exception):
-    """The stand-in plays an outage."""
+    """The store emulates an outage."""
 
 
 class AnswerLostError(Exception):
-    """The write took effect and its answer is to be lost."""
+    """The call was executed, and its answer must not be sent."""
 
 
 @dataclass
@@ -53,19 +53,19 @@
 
 @dataclass
 class StoreFaults:
-    """Which faults the store plays now."""
+    """Faults that the store currently emulates."""
 
     down: bool = False
     delay: float = 0.0
     lose_answers: int = 0
-    """How many of the next writes take effect without an answer."""
+    """Number of following writes that take effect but are not answered."""
 
     lose_reads: int = 0
-    """How many of the next reads go without an answer."""
+    """Number of following reads that are not answered."""
 
 
 class MemoryStore:
-    """Answer gateway requests from memory; all keys stay base64, as they travel."""
+    """Serve gateway requests from memory; keys are kept in base64, as in requests."""
 
     def __init__(self) -> None:
         self.faults = StoreFaults()
@@ -81,18 +81,18 @@
 
     @property
     def waiting_watches(self) -> int:
-        """Count the open watches."""
+        """Return the number of open watches."""
         return len(self._watchers)
 
     def all_keys(self) -> list[str]:
-        """Return all keys, base64."""
+        """Return all keys, sorted by their base64 form."""
         return sorted(self._items)
 
     async def call(self, path: str, request: dict[str, Any], now: float) -> dict[str, Any]:
-        """Run one unary call; raises when a fault says that no answer may be given."""
+        """Execute one unary call; raise an error if a fault prevents its answer."""
         operation = path.removeprefix("/v3/")
         self.counts[operation] += 1
-        await self._play_faults()
+        await self._apply_faults()
         handlers = {
             "kv/range": self._range,
             "kv/put": self._put_call,
@@ -111,50 +111,50 @@
             raise AnswerLostError(path)
         return answer
 
-    async def _play_faults(self) -> None:
+    async def _apply_faults(self) -> None:
         if self.faults.down:
             raise StoreDownError
         if self.faults.delay:
             await anyio.sleep(self.faults.delay)
 
     def open_watch(self, request: dict[str, Any], stream: MemoryObjectSendStream[bytes]) -> int:
-        """Register a watch, replaying history from its start revision; return its id."""
+        """Register a watch, replay the history from its start revision and return its id."""
         self.counts["watch"] += 1
         if self.faults.down:
             raise StoreDownError
         create = request["create_request"]
         start = int(create.get("start_revision", 0)) or self._revision + 1
         watch_id = next(self._watch_ids)
-        stream.send_nowait(self._frame({"created": True}))
+        stream.send_nowait(self._encode_event({"created": True}))
         replay = [
             event
             for revision, event in self._history
             if revision >= start and event["kv"]["key"] == create["key"]
         ]
         if replay:
-            stream.send_nowait(self._frame({"events": replay}))
+            stream.send_nowait(self._encode_event({"events": replay}))
         self._watchers[watch_id] = (create["key"], stream)
         return watch_id
 
     def close_watch(self, watch_id: int) -> None:
-        """Forget a watch."""
+        """Remove a watch."""
         self._watchers.pop(watch_id, None)
 
     async def sweep_leases(self) -> None:
-        """End leases whose time has passed, until cancelled."""
+        """Remove expired leases until cancelled; none are removed during an outage."""
         while True:
             await anyio.sleep(SWEEP_INTERVAL)
             now = anyio.current_time()
-            ended = [key for key, lease in self._leases.items() if lease.deadline < now]
+            expired = [key for key, lease in self._leases.items() if lease.deadline < now]
             if self.faults.down:
                 continue
-            for lease_id in ended:
-                self._end_lease(lease_id)
+            for lease_id in expired:
+                self._remove_lease(lease_id)
 
     def _header(self) -> dict[str, Any]:
         return {"cluster_id": "1", "member_id": "1", "revision": str(self._revision)}
 
-    def _frame(self, result: dict[str, Any]) -> bytes:
+    def _encode_event(self, result: dict[str, Any]) -> bytes:
         return orjson.dumps({"result": {"header": self._header(), **result}}) + b"\n"
 
     def _range(self, request: dict[str, Any], now: float) -> dict[str, Any]:
@@ -164,9 +164,9 @@
             keys = sorted(name for name in self._items if low <= b64decode(name) < high)
         else:
             keys = [key] if key in self._items else []
-        return {"header": self._header(), "kvs": [self._document(name) for name in keys]}
+        return {"header": self._header(), "kvs": [self._key_value(name) for name in keys]}
 
-    def _document(self, key: str) -> dict[str, Any]:
+    def _key_value(self, key: str) -> dict[str, Any]:
         item = self._items[key]
         return {
             "key": key,
@@ -199,7 +199,7 @@
         )
         if lease_id:
             self._leases[lease_id].keys.add(key)
-        self._publish({"type": "PUT", "kv": self._document(key)})
+        self._publish({"type": "PUT", "kv": self._key_value(key)})
         self.on_put(key, self._items[key].value)
 
     def _delete(self, key: str) -> None:
@@ -216,22 +216,22 @@
         del self._history[:-20_000]
         for key, stream in list(self._watchers.values()):
             if key == event["kv"]["key"]:
-                stream.send_nowait(self._frame({"events": [event]}))
+                stream.send_nowait(self._encode_event({"events": [event]}))
 
     def _transaction(self, request: dict[str, Any], now: float) -> dict[str, Any]:
-        compares = request.get("compare", ())
-        succeeded = all(self._holds(compare) for compare in compares)
+        comparisons = request.get("compare", ())
+        succeeded = all(self._comparison_holds(compare) for compare in comparisons)
         operations = request.get("success" if succeeded else "failure", ())
         if any("request_put" in item or "request_delete_range" in item for item in operations):
             self._revision += 1
-        responses = [self._operate(operation, now) for operation in operations]
+        responses = [self._execute(operation, now) for operation in operations]
         return {"header": self._header(), "succeeded": succeeded, "responses": responses}
 
-    def _holds(self, compare: dict[str, Any]) -> bool:
+    def _comparison_holds(self, compare: dict[str, Any]) -> bool:
         item = self._items.get(compare["key"])
         return int(compare["mod_revision"]) == (item.mod_revision if item else 0)
 
-    def _operate(self, operation: dict[str, Any], now: float) -> dict[str, Any]:
+    def _execute(self, operation: dict[str, Any], now: float) -> dict[str, Any]:
         if "request_put" in operation:
             self._put(operation["request_put"])
             return {"response_put": {}}
@@ -255,10 +255,10 @@
         return {"result": result}
 
     def _revoke(self, request: dict[str, Any], now: float) -> dict[str, Any]:
-        self._end_lease(int(request["ID"]))
+        self._remove_lease(int(request["ID"]))
         return {"header": self._header()}
 
-    def _end_lease(self, lease_id: int) -> None:
+    def _remove_lease(self, lease_id: int) -> None:
         lease = self._leases.pop(lease_id, None)
         if lease is None:
             return
@@ -267,6 +267,6 @@
             self._delete(key)
 
 
-def key_text(encoded: str) -> str:
-    """Decode a key for people to read."""
+def decode_key(encoded: str) -> str:
+    """Return a base64 key as text."""
     return b64decode(encoded).decode()
