--- a/vanillawell/standins/proxy.py
+++ b/vanillawell/standins/proxy.py
@@ -1,7 +1,7 @@
-"""Run the fault-injecting TCP proxy that stands for the network in tests and the demo.
+"""Run the fault-injecting TCP proxy that emulates the network in tests and the demo.
 
-Each link listens on an address and forwards to a target. The zone at the other end is told by
-the source address: an entry of zone number N binds its sockets to 127.0.N.x. Faults match links
+Each link listens on an address and forwards to a target. The zone of the client is derived from
+its source address: an entry of zone number N binds its sockets to 127.0.N.x. Faults match links
 and zones, and can be set and cleared while connections are open.
 """
 
@@ -30,26 +30,26 @@
     server,
 )
 
-CHUNK = 65_536
-"""Bytes read at once."""
+CHUNK_SIZE = 65_536
+"""Maximum number of bytes read at once."""
 
-DELAYED_CHUNKS = 1_000
-"""Chunks that may be under way in one direction of a delayed connection."""
+MAX_DELAYED_CHUNKS = 1_000
+"""Maximum number of chunks in transit in one direction of a delayed connection."""
 
-SILENCE_POLL = 0.2
-"""Seconds between two looks at whether a silent connection's fault was cleared."""
+SILENCE_POLL_INTERVAL = 0.2
+"""Seconds between two checks whether the fault of a silent connection was cleared."""
 
-ENDED = (
+CONNECTION_CLOSED = (
     anyio.EndOfStream,
     anyio.BrokenResourceError,
     anyio.ClosedResourceError,
     OSError,
 )
-"""Errors by which either end of a connection is seen to have closed."""
+"""Errors raised when either end of a connection has closed it."""
 
 
 class FaultKind(StrEnum):
-    """What a fault does to the connections that it matches."""
+    """Effect of a fault on the connections that it matches."""
 
     DELAY = "delay"
     CUT = "cut"
@@ -62,37 +62,37 @@
 
 @dataclass(slots=True)
 class Fault:
-    """One fault in force."""
+    """One active fault."""
 
     kind: FaultKind
     link: str = ""
-    """Prefix of the link's name; empty matches all."""
+    """Prefix of the link's name; empty matches all links."""
 
     source_zone: int = 0
-    """Zone of the end that opened the connection; 0 matches all."""
+    """Zone of the client that opened the connection; 0 matches all zones."""
 
     target_zone: int = 0
-    """Zone of the link's target; 0 matches all."""
+    """Zone of the link's target; 0 matches all zones."""
 
     seconds: float = 0.0
-    """Delay each way."""
+    """Delay in each direction."""
 
     count: int = 1_000_000
-    """How many more times it strikes, for those that strike once per request."""
+    """Number of requests that the fault is still applied to, for faults of single requests."""
 
     contains: str = ""
-    """Text that the request must contain, for those that strike once per request."""
+    """Text that the request must contain, for faults of single requests."""
 
     after: int = 0
-    """Bytes of the answer that pass, for cut-in-answer."""
+    """Bytes of the answer that are forwarded, for cut-in-answer."""
 
     before: int = 0
-    """Number of the first connection that it leaves alone, for silence-old."""
+    """Number of the last connection that the fault applies to, for silence-old."""
 
 
 @dataclass(frozen=True, slots=True)
 class Link:
-    """One forwarded address."""
+    """One link: a target address, its name and its zone."""
 
     name: str
     host: str
@@ -106,40 +106,40 @@
 
 
 class Network:
-    """Hold the faults in force and count connections."""
+    """Track active faults and open connections, and count connections."""
 
     def __init__(self) -> None:
         self.faults: dict[str, Fault] = {}
         self.counts: Counter[str] = Counter()
         self._numbers = itertools.count(1)
-        self._last = 0
-        self._open: set[Connection] = set()
+        self._last_number = 0
+        self._open_connections: set[Connection] = set()
 
     def next_number(self) -> int:
-        """Number a new connection."""
-        self._last = next(self._numbers)
-        return self._last
+        """Return the number of a new connection."""
+        self._last_number = next(self._numbers)
+        return self._last_number
 
     def set_fault(self, name: str, fault: Fault) -> None:
-        """Put a fault in force."""
-        fault.before = self._last
+        """Activate a fault; a cut also closes the open connections that it matches."""
+        fault.before = self._last_number
         self.faults[name] = fault
         if fault.kind is FaultKind.CUT:
-            for connection in list(self._open):
+            for connection in list(self._open_connections):
                 if connection.matches(fault):
                     connection.abort()
 
     def add(self, connection: Connection) -> None:
-        """Keep an open connection."""
-        self._open.add(connection)
+        """Track an open connection."""
+        self._open_connections.add(connection)
 
     def remove(self, connection: Connection) -> None:
-        """Forget a closed connection."""
-        self._open.discard(connection)
+        """Stop tracking a closed connection."""
+        self._open_connections.discard(connection)
 
 
 class Connection:
-    """Forward one connection, with the faults that match it."""
+    """Forward one connection and apply the faults that match it."""
 
     def __init__(self, network: Network, link: Link, source_zone: int) -> None:
         self._network = network
@@ -148,10 +148,10 @@
         self._number = network.next_number()
         self._scope = anyio.CancelScope()
         self._request_tail = b""
-        self._answered = 0
+        self._answer_bytes = 0
 
     def matches(self, fault: Fault) -> bool:
-        """Tell whether a fault is about this connection."""
+        """Return whether a fault matches this connection."""
         return (
             self._link.name.startswith(fault.link)
             and fault.source_zone in (0, self._source_zone)
@@ -159,16 +159,16 @@
         )
 
     def abort(self) -> None:
-        """Close both ends."""
+        """Close the connections to both ends."""
         self._scope.cancel()
 
     def _fault(self, *kinds: FaultKind) -> Fault | None:
-        found = (item for item in self._network.faults.values() if item.kind in kinds)
-        return next((item for item in found if item.count > 0 and self.matches(item)), None)
+        matching = (item for item in self._network.faults.values() if item.kind in kinds)
+        return next((item for item in matching if item.count > 0 and self.matches(item)), None)
 
-    def _silent(self) -> bool:
-        old = self._fault(FaultKind.SILENCE_OLD)
-        if old and self._number <= old.before:
+    def _is_silent(self) -> bool:
+        fault = self._fault(FaultKind.SILENCE_OLD)
+        if fault and self._number <= fault.before:
             return True
         return self._fault(FaultKind.SILENCE) is not None
 
@@ -176,80 +176,87 @@
         fault = self._fault(FaultKind.DELAY)
         return fault.seconds if fault else 0.0
 
-    async def run(self, near: SocketStream) -> None:
-        """Forward until either end closes."""
+    async def run(self, client: SocketStream) -> None:
+        """Forward data until either end closes the connection."""
         self._network.counts[self._link.name] += 1
         if self._fault(FaultKind.CUT):
-            await near.aclose()
+            await client.aclose()
             return
         self._network.add(self)
         try:
             with self._scope:
-                async with near:
-                    await self._join(near)
-        except* ENDED:
+                async with client:
+                    await self._forward_both_ways(client)
+        except* CONNECTION_CLOSED:
             pass
         finally:
             self._network.remove(self)
 
-    async def _join(self, near: SocketStream) -> None:
-        far = await anyio.connect_tcp(self._link.host, self._link.port)
-        async with far, anyio.create_task_group() as tasks:
-            tasks.start_soon(self._forward, near, far, True)
-            tasks.start_soon(self._forward, far, near, False)
+    async def _forward_both_ways(self, client: SocketStream) -> None:
+        target = await anyio.connect_tcp(self._link.host, self._link.port)
+        async with target, anyio.create_task_group() as tasks:
+            tasks.start_soon(self._forward, client, target, True)
+            tasks.start_soon(self._forward, target, client, False)
 
-    async def _forward(self, source: SocketStream, sink: SocketStream, request: bool) -> None:
-        give, take = anyio.create_memory_object_stream[tuple[float, bytes]](DELAYED_CHUNKS)
+    async def _forward(
+        self, source: SocketStream, destination: SocketStream, is_request: bool
+    ) -> None:
+        sender, receiver = anyio.create_memory_object_stream[tuple[float, bytes]](
+            MAX_DELAYED_CHUNKS
+        )
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._deliver, take, sink)
-            async with give:
-                await self._read(source, sink, request, give)
+            tasks.start_soon(self._deliver, receiver, destination)
+            async with sender:
+                await self._read(source, destination, is_request, sender)
         self.abort()
 
     async def _read(
         self,
         source: SocketStream,
-        sink: SocketStream,
-        request: bool,
-        give: MemoryObjectSendStream[tuple[float, bytes]],
+        destination: SocketStream,
+        is_request: bool,
+        sender: MemoryObjectSendStream[tuple[float, bytes]],
     ) -> None:
         while True:
             try:
-                data = await source.receive(CHUNK)
-            except ENDED:
-                await self._while_silent()
+                data = await source.receive(CHUNK_SIZE)
+            except CONNECTION_CLOSED:
+                await self._wait_while_silent()
                 return
-            if self._silent():
+            if self._is_silent():
                 continue
-            if request:
-                self._request_tail = (self._request_tail + data)[-CHUNK:]
-            elif await self._strike(data, sink):
+            if is_request:
+                self._request_tail = (self._request_tail + data)[-CHUNK_SIZE:]
+            elif await self._apply_answer_fault(data, destination):
                 return
             if delay := self._delay():
-                await give.send((anyio.current_time() + delay, data))
+                await sender.send((anyio.current_time() + delay, data))
             else:
-                await sink.send(data)
+                await destination.send(data)
+
+    async def _wait_while_silent(self) -> None:
+        """Withhold the close from the other end for as long as the connection is silent.
 
-    async def _while_silent(self) -> None:
-        """Keep the end of a silent connection to oneself; whoever lost track tells nobody."""
-        while self._silent():
-            await anyio.sleep(SILENCE_POLL)
+        A network path that has lost track of a connection forwards no close either.
+        """
+        while self._is_silent():
+            await anyio.sleep(SILENCE_POLL_INTERVAL)
 
     async def _deliver(
-        self, take: MemoryObjectReceiveStream[tuple[float, bytes]], sink: SocketStream
+        self, receiver: MemoryObjectReceiveStream[tuple[float, bytes]], destination: SocketStream
     ) -> None:
-        async for due, data in take:
+        async for due, data in receiver:
             await anyio.sleep(max(0.0, due - anyio.current_time()))
-            if not self._silent():
-                await sink.send(data)
+            if not self._is_silent():
+                await destination.send(data)
 
-    async def _strike(self, data: bytes, sink: SocketStream) -> bool:
-        """Play a fault that ends a connection on its answer; True if it did."""
+    async def _apply_answer_fault(self, data: bytes, destination: SocketStream) -> bool:
+        """Apply a fault that closes the connection on its answer; return whether one applied."""
         fault = self._fault(
             FaultKind.CUT_AFTER_REQUEST, FaultKind.HALF_ANSWER, FaultKind.CUT_IN_ANSWER
         )
-        self._answered = len(data) + (0 if self._request_tail else self._answered)
-        if fault and fault.kind is FaultKind.CUT_IN_ANSWER and self._answered <= fault.after:
+        self._answer_bytes = len(data) + (0 if self._request_tail else self._answer_bytes)
+        if fault and fault.kind is FaultKind.CUT_IN_ANSWER and self._answer_bytes <= fault.after:
             self._request_tail = b""
             return False
         if not fault or fault.contains.encode() not in self._request_tail:
@@ -258,22 +265,22 @@
         fault.count -= 1
         self._network.counts[f"struck {fault.kind}"] += 1
         if fault.kind is FaultKind.HALF_ANSWER:
-            await sink.send(data[: len(data) // 2])
+            await destination.send(data[: len(data) // 2])
         self.abort()
         return True
 
 
 class ControlApp:
-    """Let tests set and clear faults."""
+    """Serve the control calls by which tests set and clear faults."""
 
     def __init__(self, network: Network) -> None:
         self._network = network
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer one control call."""
+        """Serve one control call."""
         if scope["type"] != "http":
             return
-        request: dict[str, Any] = orjson.loads(await read_body(receive, CHUNK) or b"{}")
+        request: dict[str, Any] = orjson.loads(await read_body(receive, CHUNK_SIZE) or b"{}")
         match scope["path"]:
             case "/control/set":
                 name = request.pop("name")
@@ -290,11 +297,11 @@
 
 
 async def serve(host: str, control: int, links: list[str]) -> None:
-    """Serve all links until the process is ended."""
+    """Serve all links until the process is terminated."""
     network = Network()
     async with anyio.create_task_group() as tasks:
-        for text in links:
-            name, listen, target_host, target_port, zone = text.split(",")
+        for argument in links:
+            name, listen, target_host, target_port, zone = argument.split(",")
             link = Link(name, target_host, int(target_port), int(zone))
             listener = await anyio.abc.SocketListener.from_socket(bind(host, int(listen), name))
             tasks.start_soon(_serve_link, network, link, listener)
@@ -303,9 +310,9 @@
 
 
 async def _serve_link(network: Network, link: Link, listener: anyio.abc.SocketListener) -> None:
-    async def handle(near: SocketStream) -> None:
-        address = near.extra(anyio.abc.SocketAttribute.remote_address)
-        await Connection(network, link, zone_of(str(address[0]))).run(near)
+    async def handle(client: SocketStream) -> None:
+        address = client.extra(anyio.abc.SocketAttribute.remote_address)
+        await Connection(network, link, zone_of(str(address[0]))).run(client)
 
     await listener.serve(handle)
 
@@ -315,7 +322,7 @@
         list[str],
         typer.Argument(help="NAME,LISTEN_PORT,TARGET_HOST,TARGET_PORT,ZONE of each link."),
     ],
-    control: Annotated[int, typer.Option(help="Port of the tests' control calls.")],
+    control: Annotated[int, typer.Option(help="Port for control calls of tests.")],
     host: Annotated[str, typer.Option()] = "127.0.0.1",
 ) -> None:
     """Run the fault-injecting proxy."""
