--- a/vanillawell/standins/__init__.py
+++ b/vanillawell/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand in for the platform, backend servers and a faulty network."""
+"""Emulators of the platform, the backend servers and a faulty network."""
--- a/vanillawell/standins/demo.py
+++ b/vanillawell/standins/demo.py
@@ -1,4 +1,4 @@
-"""Run the demo: stand-ins, nine entries, a bounded load, then a short report."""
+"""Run the demo: emulators, nine entries, a bounded load and a short report."""
 
 from __future__ import annotations
 
@@ -16,26 +16,31 @@
 from vanillawell.standins.fleet import Fleet
 from vanillawell.standins.load import LoadGenerator, LoadResult, Stream, Target, peak_rate
 
-PERIOD_SECONDS = 10.0
-"""Time in which each service has one peak; the services take turns."""
+PEAK_PERIOD = 10.0
+"""Seconds in which each service has one peak; the peaks follow one another."""
 
 
-def streams_of(deployment: Deployment, rate: float) -> list[Stream]:
-    """Spread `rate` requests a second over services and organisations, each service peaking in
-    turn."""
+def build_streams(deployment: Deployment, rate: float) -> list[Stream]:
+    """Distribute `rate` requests per second over services and organisations.
+
+    The services peak one after the other.
+    """
     services = list(deployment.services)
-    weights = sum(organisation.weight for organisation in deployment.organisations.values())
-    peak = PERIOD_SECONDS / len(services)
+    total_weight = sum(organisation.weight for organisation in deployment.organisations.values())
+    peak_seconds = PEAK_PERIOD / len(services)
     return [
         Stream(
             organisation=name,
             service=service,
             rate=peak_rate(
-                rate / len(services) * organisation.weight / weights, PERIOD_SECONDS, i * peak, peak
+                rate / len(services) * organisation.weight / total_weight,
+                PEAK_PERIOD,
+                index * peak_seconds,
+                peak_seconds,
             ),
-            method="POST" if (i + len(name)) % 2 else "GET",
+            method="POST" if (index + len(name)) % 2 else "GET",
         )
-        for i, service in enumerate(services)
+        for index, service in enumerate(services)
         for name, organisation in deployment.organisations.items()
     ]
 
@@ -50,7 +55,7 @@
         generator = LoadGenerator(targets, seed, deployment.client_delay_ms / 1000)
         result = anyio.run(
             generator.run,
-            streams_of(deployment, rate),
+            build_streams(deployment, rate),
             seconds,
             backend_options={"use_uvloop": True},
         )
@@ -58,7 +63,7 @@
 
 
 def report(console: Console, deployment: Deployment, result: LoadResult, fleet: Fleet) -> None:
-    """Print what callers saw and what the backend servers counted."""
+    """Print the statistics of callers and backend servers."""
     counts = fleet.backend_counts()
     total = result.total()
     refusals = ", ".join(f"{name} {count}" for name, count in total.refused.most_common()) or "none"
@@ -75,8 +80,8 @@
         f"{counts['over_connections']} beyond their connections"
     )
     used = counts["slot_seconds"]
-    whole = sum(used.values()) or 1.0
-    shares = sum(organisation.share for organisation in deployment.organisations.values())
+    total_slot_seconds = sum(used.values()) or 1.0
+    total_share = sum(organisation.share for organisation in deployment.organisations.values())
     table = Table(title="Organisations", title_justify="left")
     for column in (
         "organisation",
@@ -92,8 +97,8 @@
             name,
             str(organisation.limit),
             str(counts["most_running"].get(name, 0)),
-            f"{organisation.share / shares:.1%}",
-            f"{used.get(name, 0.0) / whole:.1%}",
+            f"{organisation.share / total_share:.1%}",
+            f"{used.get(name, 0.0) / total_slot_seconds:.1%}",
             str(result.caller_statistics[name].answered),
         )
     console.print(table)
--- a/vanillawell/standins/deployment.py
+++ b/vanillawell/standins/deployment.py
@@ -12,19 +12,19 @@
 from vanillawell.config.tree import OperatorTree
 
 SPARE = "spare"
-"""Stands for the spare pool where a service is named."""
+"""Service name that denotes the spare pool."""
 
 RACK_SIZE = 4
-"""Instances of a pool that share a rack; the rest stand in a rack of the next zone."""
+"""Instances of a pool per rack; the next rack of the pool is in the next zone."""
 
 
 class OrganisationPlan(StrictModel):
-    """One organisation."""
+    """Settings of one organisation and its part of the load."""
 
     share: float = 1.0
     limit: int = 20
     weight: float = 1.0
-    """Part of the load that it sends, relative to the others."""
+    """Fraction of the load that it sends, relative to the other organisations."""
 
 
 class ServicePlan(StrictModel):
@@ -38,7 +38,7 @@
 
 
 class Deployment(StrictModel):
-    """One user's fleet."""
+    """One fleet to emulate."""
 
     name: Name
     zones: Annotated[int, Field(ge=1, le=20)] = 3
@@ -52,33 +52,33 @@
     executors_per_service: int = 6
     slots: int = 8
     spares: int = 0
-    """Instances of the spare pool, each in a rack of its own."""
+    """Number of instances of the spare pool, each in a rack of its own."""
 
     services: dict[Name, ServicePlan]
     organisations: dict[Name, OrganisationPlan]
     fleet_settings: dict[str, Any] = {}
-    """Settings of the operators' root node."""
+    """Settings of the root node of the operators' configuration tree."""
 
     timing: dict[str, Any] = {}
     """Timing settings of every entry."""
 
     experiment: dict[str, Any] = {}
-    """Baselines that every entry uses instead of the product's decisions."""
+    """Baselines that every entry uses instead of vanillawell's own decisions."""
 
     seeded: bool = False
     """Name the first entry as a seed in the settings of all others."""
 
     entry_settings: dict[str, Any] = {}
-    """Further settings of every entry, for instance TLS."""
+    """Additional settings of every entry, for example TLS."""
 
     backend_options: list[str] = []
-    """Further options of the backend servers' stand-in."""
+    """Additional options of the backend server emulator."""
 
     cli_options: list[str] = []
-    """Options that every call of the command line gets."""
+    """Options that are passed to every call of the command line."""
 
     store_users: dict[str, str] = {}
-    """Passwords of the store's users; empty if it asks for none."""
+    """Passwords of the store's users; empty if it requires no authentication."""
 
     store: dict[str, Any] = {}
     """Store settings of every entry, except for its address."""
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExecutorPlacement:
-    """One executor of a deployment."""
+    """Service, zone and rack of one executor."""
 
     name: str
     service: str
@@ -111,23 +111,27 @@
 
 
 def executor_placements(deployment: Deployment) -> list[ExecutorPlacement]:
-    """Place each service's executors: four in a rack of one zone, the rest in the next zone."""
-    served = [
-        _place(deployment, index, service, number)
+    """Place each service's executors in racks of four, one zone after the other."""
+    placements = [
+        _service_placement(deployment, index, service, number)
         for index, service in enumerate(deployment.services)
         for number in range(deployment.executors_per_service)
     ]
-    return served + [_spare(deployment, number) for number in range(deployment.spares)]
+    return placements + [
+        _spare_placement(deployment, number) for number in range(deployment.spares)
+    ]
 
 
-def _spare(deployment: Deployment, number: int) -> ExecutorPlacement:
+def _spare_placement(deployment: Deployment, number: int) -> ExecutorPlacement:
     zone = number % deployment.zones + 1
     return ExecutorPlacement(f"spare-{number + 1}", SPARE, zone, f"rack-{zone}-spare-{number + 1}")
 
 
-def _place(deployment: Deployment, index: int, service: str, number: int) -> ExecutorPlacement:
-    block = number // RACK_SIZE
-    zone = (index + block) % deployment.zones + 1
+def _service_placement(
+    deployment: Deployment, index: int, service: str, number: int
+) -> ExecutorPlacement:
+    rack_index = number // RACK_SIZE
+    zone = (index + rack_index) % deployment.zones + 1
     return ExecutorPlacement(
         name=f"{service}-{number + 1}",
         service=service,
@@ -142,7 +146,7 @@
 
 
 def operator_tree(deployment: Deployment, ports: dict[str, int]) -> OperatorTree:
-    """Build the operators' tree; `ports` gives the address of each executor."""
+    """Build the operators' configuration tree; `ports` has the port of each executor."""
     nodes: dict[str, Any] = {"fleet": {"kind": "fleet", "settings": deployment.fleet_settings}}
     for number in range(1, deployment.zones + 1):
         nodes[zone_name(number)] = {"kind": "zone", "parent": "fleet"}
@@ -170,11 +174,11 @@
 
 def _instances(deployment: Deployment, service: str, ports: dict[str, int]) -> dict[str, Any]:
     return {
-        place.name: {
-            "address": {"host": "127.0.0.1", "port": ports[place.name]},
-            "zone": zone_name(place.zone),
-            "rack": place.rack,
+        placement.name: {
+            "address": {"host": "127.0.0.1", "port": ports[placement.name]},
+            "zone": zone_name(placement.zone),
+            "rack": placement.rack,
         }
-        for place in executor_placements(deployment)
-        if place.service == service
+        for placement in executor_placements(deployment)
+        if placement.service == service
     }
--- a/vanillawell/standins/load.py
+++ b/vanillawell/standins/load.py
@@ -1,4 +1,4 @@
-"""Send a bounded, seeded load to entries and sum up what callers saw."""
+"""Send a bounded, seeded load to entries and collect statistics of the callers."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
     from collections.abc import Callable, Sequence
 
 CLIENT_TIMEOUT = {"connect": 2.0, "read": 30.0, "write": 5.0, "pool": 30.0}
-"""Bounds of one request, in seconds."""
+"""Timeouts of one request, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """Where callers of a zone send; the balancer's stand-in picks one in turn."""
+    """Address that callers send to; targets are used in turn, as by a load balancer."""
 
     host: str
     port: int
@@ -39,23 +39,23 @@
     organisation: str
     service: str
     rate: Callable[[float], float]
-    """Requests a second at a time since the start."""
+    """Requests per second as a function of the seconds since the start."""
 
     method: str = "GET"
     timeout: float = 5.0
     zone: int = 0
-    """Zone whose entries it reaches; 0 for all."""
+    """Zone of the entries that the requests are sent to; 0 for all zones."""
 
     urgency: int = 3
-    """Urgency by RFC 9218; 4 and above may wait behind all others."""
+    """Urgency as of RFC 9218; requests of urgency 4 and above may wait behind all others."""
 
     keyed: bool = False
-    """Send each request with an Idempotency-Key of its own."""
+    """Whether to send each request with its own Idempotency-Key."""
 
 
 @dataclass(slots=True)
 class CallerStatistics:
-    """What the callers of one organisation saw."""
+    """Results of the requests that callers of one organisation sent."""
 
     sent: int = 0
     answered: int = 0
@@ -63,103 +63,103 @@
     connection_errors: Counter[str] = field(default_factory=Counter)
     latencies: list[float] = field(default_factory=list)
 
-    def percentile(self, part: float) -> float:
-        """Return a percentile of the answered requests' latency, in seconds."""
+    def percentile(self, fraction: float) -> float:
+        """Return a percentile, given as a fraction, of the latency of answers in seconds."""
         if not self.latencies:
             return float("nan")
         ordered = sorted(self.latencies)
-        return ordered[min(len(ordered) - 1, int(part * len(ordered)))]
+        return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
 
 
 @dataclass(slots=True)
 class LoadResult:
-    """What all callers saw."""
+    """Duration of a load and the statistics of its callers by organisation."""
 
     seconds: float
     caller_statistics: dict[str, CallerStatistics]
 
     def total(self) -> CallerStatistics:
-        """Add up all organisations."""
-        whole = CallerStatistics()
-        for tally in self.caller_statistics.values():
-            whole.sent += tally.sent
-            whole.answered += tally.answered
-            whole.refused += tally.refused
-            whole.connection_errors += tally.connection_errors
-            whole.latencies += tally.latencies
-        return whole
+        """Return the sum over all organisations."""
+        total = CallerStatistics()
+        for statistics in self.caller_statistics.values():
+            total.sent += statistics.sent
+            total.answered += statistics.answered
+            total.refused += statistics.refused
+            total.connection_errors += statistics.connection_errors
+            total.latencies += statistics.latencies
+        return total
 
 
 class LoadGenerator:
-    """Send streams of requests at their own pace, whatever becomes of earlier ones."""
+    """Send streams of requests at given rates, independently of earlier responses."""
 
     def __init__(self, targets: Sequence[Target], seed: int, client_delay: float = 0.0) -> None:
         self._targets = list(targets)
         self._rng = random.Random(seed)
         self._client_delay = client_delay
-        self._turns = {
+        self._round_robin = {
             zone: itertools.cycle([t for t in targets if zone in (0, t.zone)])
             for zone in {0, *(target.zone for target in targets)}
         }
-        self._tallies: dict[str, CallerStatistics] = {}
-        self._idle: dict[Target, list[httpcore.AsyncConnectionPool]] = {
+        self._caller_statistics: dict[str, CallerStatistics] = {}
+        self._idle_connections: dict[Target, list[httpcore.AsyncConnectionPool]] = {
             target: [] for target in targets
         }
 
     async def run(self, streams: Sequence[Stream], seconds: float) -> LoadResult:
-        """Send for `seconds`, then wait for the answers that are still due."""
+        """Send for `seconds`, then wait for the outstanding answers."""
         started = time.monotonic()
         async with anyio.create_task_group() as tasks:
             for stream in streams:
-                self._tallies.setdefault(stream.organisation, CallerStatistics())
+                self._caller_statistics.setdefault(stream.organisation, CallerStatistics())
                 rng = random.Random(self._rng.random())
                 tasks.start_soon(self._send_stream, stream, rng, seconds)
-        for pool in (pool for pools in self._idle.values() for pool in pools):
+        for pool in (pool for pools in self._idle_connections.values() for pool in pools):
             await pool.aclose()
-        return LoadResult(time.monotonic() - started, self._tallies)
+        return LoadResult(time.monotonic() - started, self._caller_statistics)
 
     async def closed_loop(self, stream: Stream, callers: int, seconds: float) -> float:
-        """Send without a pause by some callers; return answers a second."""
-        tally = self._tallies.setdefault(stream.organisation, CallerStatistics())
-        end = time.monotonic() + seconds
+        """Send requests back to back from several callers; return the answers per second."""
+        statistics = self._caller_statistics.setdefault(stream.organisation, CallerStatistics())
+        deadline = time.monotonic() + seconds
 
         async def repeat() -> None:
-            while time.monotonic() < end:
+            while time.monotonic() < deadline:
                 await self._send_one(stream)
 
         async with anyio.create_task_group() as tasks:
             for _ in range(callers):
                 tasks.start_soon(repeat)
-        return tally.answered / seconds
+        return statistics.answered / seconds
 
     async def _send_stream(self, stream: Stream, rng: random.Random, seconds: float) -> None:
-        """Send with exponentially distributed gaps at the stream's present rate."""
-        begun = time.monotonic()
-        due = 0.0
+        """Send with exponentially distributed intervals at the stream's current rate."""
+        started = time.monotonic()
+        send_at = 0.0
         async with anyio.create_task_group() as tasks:
             while True:
-                rate = max(stream.rate(due), 1e-3)
-                due += min(rng.expovariate(rate), 1.0)
-                if due >= seconds:
+                rate = max(stream.rate(send_at), 1e-3)
+                send_at += min(rng.expovariate(rate), 1.0)
+                if send_at >= seconds:
                     return
                 if rate <= 1e-3:
                     continue
-                await anyio.sleep(max(0.0, begun + due - time.monotonic()))
+                await anyio.sleep(max(0.0, started + send_at - time.monotonic()))
                 tasks.start_soon(self._send_one, stream)
 
-    def _take_connection(self, target: Target) -> httpcore.AsyncConnectionPool:
+    def _acquire_connection(self, target: Target) -> httpcore.AsyncConnectionPool:
         """Return an idle connection or a new one.
 
-        Each is a pool of one: a single pool looks through all its connections at each request,
-        and with hundreds open that took a whole core and showed as latency of the entries.
+        Each is a pool of one connection. A single pool searches all its connections at each
+        request; with hundreds open this used a whole core and showed up as latency of the entries.
         """
-        idle = self._idle[target]
-        return idle.pop() if idle else httpcore.AsyncConnectionPool(max_connections=1)
+        connections = self._idle_connections[target]
+        return connections.pop() if connections else httpcore.AsyncConnectionPool(max_connections=1)
 
     async def _send_one(self, stream: Stream) -> None:
-        target = next(self._turns[stream.zone])
-        tally = self._tallies[stream.organisation]
-        tally.sent += 1
+        target = next(self._round_robin[stream.zone])
+        statistics = self._caller_statistics[stream.organisation]
+        statistics.sent += 1
         started = time.monotonic()
         headers = [
             ("authorization", f"Bearer {organisation_key(stream.organisation)}"),
@@ -169,7 +169,7 @@
         if stream.keyed:
             headers.append(("idempotency-key", new_idempotency_key(self._rng, time.time())))
         await anyio.sleep(self._client_delay)
-        pool = self._take_connection(target)
+        pool = self._acquire_connection(target)
         try:
             response = await pool.request(
                 stream.method,
@@ -179,19 +179,19 @@
                 extensions={"timeout": CLIENT_TIMEOUT},
             )
         except (httpcore.NetworkError, httpcore.TimeoutException, httpcore.ProtocolError) as error:
-            tally.connection_errors[type(error).__name__] += 1
+            statistics.connection_errors[type(error).__name__] += 1
             await pool.aclose()
             return
-        self._idle[target].append(pool)
+        self._idle_connections[target].append(pool)
         await anyio.sleep(self._client_delay)
         if response.status == 200:
-            tally.answered += 1
-            tally.latencies.append(time.monotonic() - started)
+            statistics.answered += 1
+            statistics.latencies.append(time.monotonic() - started)
         else:
-            tally.refused[_refusal_name(response)] += 1
+            statistics.refused[_refusal_type(response)] += 1
 
 
-def _refusal_name(response: httpcore.Response) -> str:
+def _refusal_type(response: httpcore.Response) -> str:
     try:
         return str(orjson.loads(response.content)["type"]).rpartition(":")[2]
     except (orjson.JSONDecodeError, KeyError, TypeError):
@@ -206,17 +206,20 @@
 
 
 def constant_rate(rate: float) -> Callable[[float], float]:
-    """Return a constant rate."""
+    """Return a constant rate function."""
     return lambda _: rate
 
 
 def peak_rate(
     mean: float, period: float, offset: float, peak_seconds: float, factor: float = 5.0
 ) -> Callable[[float], float]:
-    """Return a rate of `factor` times the mean for some seconds, and a twentieth between."""
+    """Return a rate function with periodic peaks.
+
+    It is `factor` times the mean during peaks and a twentieth of the mean between them.
+    """
 
-    def rate(at: float) -> float:
-        in_peak = (at - offset) % period < peak_seconds
+    def rate(elapsed: float) -> float:
+        in_peak = (elapsed - offset) % period < peak_seconds
         return mean * factor if in_peak else mean / 20
 
     return rate
