--- a/vanillawell/tests/driver_clocks_tests.py
+++ b/vanillawell/tests/driver_clocks_tests.py
@@ -1,4 +1,4 @@
-"""Test whose clocks an owner leaves for its successors to tell the time by."""
+"""Test which executors' clocks an owner stores for its successors."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 
 
 @dataclass
-class Reader:
-    """What a driver knows of the clock of its executor."""
+class StubDriver:
+    """Stand in for a driver that reads the clock of its executor."""
 
     executor: Executor
     clock: ExecutorClock = field(default_factory=ExecutorClock)
 
     @property
-    def knows_clock(self) -> bool:
-        """Tell whether the clock was read."""
+    def has_clock_reading(self) -> bool:
+        """Return whether the clock was read."""
         return self.clock.value is not None
 
     def read(self, now: float) -> None:
@@ -34,18 +34,18 @@
         self.clock.add_reading(now - 90.0, now, now)
 
 
-def test_the_clocks_of_silent_executors_are_not_left_before_those_of_sound_ones() -> None:
-    """All executors with lasting tasks are out of touch. A successor can read none of their clocks,
-    so no time would count as passed for it, and the wait for their leases begins anew."""
-    harness, lost = ShardHarness(), []
+def test_clocks_of_healthy_executors_precede_those_of_unresponsive_ones() -> None:
+    """All executors with long-running tasks are unreachable. A successor could read none of their
+    clocks, so it could count no elapsed time and would wait for their full leases again."""
+    harness, unresponsive = ShardHarness(), []
     for number in range(REFERENCE_CLOCKS):
-        reader = Reader(busy_executor(harness, f"i-{number}"))
-        reader.read(harness.now)
-        reader.executor.unresponsive_since = harness.now
-        lost.append(reader)
-    assert all(has_long_running(reader.executor) for reader in lost)
-    sound = Reader(harness.register(facts("i-sound")))
-    sound.read(harness.now + 1.0)
-    readers = {item.executor.name: item for item in (*lost, sound)}
-    clocks = DriverClocks(cast("dict[str, ExecutorDriver]", readers)).upper_bound(harness.now + 1.0)
+        driver = StubDriver(busy_executor(harness, f"i-{number}"))
+        driver.read(harness.now)
+        driver.executor.unresponsive_since = harness.now
+        unresponsive.append(driver)
+    assert all(has_long_running(driver.executor) for driver in unresponsive)
+    healthy = StubDriver(harness.register(facts("i-sound")))
+    healthy.read(harness.now + 1.0)
+    drivers = {item.executor.name: item for item in (*unresponsive, healthy)}
+    clocks = DriverClocks(cast("dict[str, ExecutorDriver]", drivers)).upper_bound(harness.now + 1.0)
     assert "i-sound@1" in itertools.islice(clocks, REFERENCE_CLOCKS)
