--- a/vanillawell/standins/deployment.py
+++ b/vanillawell/standins/deployment.py
@@ -19,12 +19,12 @@
 
 
 class OrganisationPlan(StrictModel):
-    """Settings of one organisation and its part of the load."""
+    """Share, limit and load weight of one organisation."""
 
     share: float = 1.0
     limit: int = 20
     weight: float = 1.0
-    """Fraction of the load that it sends, relative to the other organisations."""
+    """Weight of its load relative to the loads of the other organisations."""
 
 
 class ServicePlan(StrictModel):
@@ -66,7 +66,7 @@
     """Baselines that every entry uses instead of vanillawell's own decisions."""
 
     seeded: bool = False
-    """Name the first entry as a seed in the settings of all others."""
+    """Whether the first entry is named as a seed in the settings of all others."""
 
     entry_settings: dict[str, Any] = {}
     """Additional settings of every entry, for example TLS."""
--- a/vanillawell/standins/fleet.py
+++ b/vanillawell/standins/fleet.py
@@ -338,7 +338,7 @@
         call(LOOPBACK, self._store_port, "/control/fail", document)
 
     def remove_permanently(self, entry: EntryHandle) -> None:
-        """Kill an entry and report its instance to be gone permanently."""
+        """Kill an entry and mark its instance as gone permanently."""
         entry.process.kill()
         call(LOOPBACK, self._store_port, "/control/gone", {"instances": [entry.name]})
 
--- a/vanillawell/standins/machines.py
+++ b/vanillawell/standins/machines.py
@@ -33,7 +33,7 @@
     """Settings of the emulated instances, as sent by a test."""
 
     homes: dict[str, str] = field(default_factory=dict)
-    """Pool of each instance that the assignment does not place in another one."""
+    """Pool of each instance that has no placement in the assignment."""
 
     reboot_seconds: float = 0.5
     list_lag: float = 0.5
--- a/vanillawell/standins/proxy.py
+++ b/vanillawell/standins/proxy.py
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Link:
-    """One link: a target address, its name and its zone."""
+    """Name, target address and target zone of one link."""
 
     name: str
     host: str
--- a/vanillawell/standins/store.py
+++ b/vanillawell/standins/store.py
@@ -58,10 +58,10 @@
     down: bool = False
     delay: float = 0.0
     lose_answers: int = 0
-    """Number of following writes that take effect but are not answered."""
+    """Number of upcoming writes that take effect but are not answered."""
 
     lose_reads: int = 0
-    """Number of following reads that are not answered."""
+    """Number of upcoming reads that are not answered."""
 
 
 class MemoryStore:
