--- a/vanillawell/tests/jobs_tests.py
+++ b/vanillawell/tests/jobs_tests.py
@@ -164,7 +164,9 @@
 
         run_during_load(callers, peak)
         ended = {"done", "failed"}
-        wait_until(lambda: set(states(fleet).values()) <= ended, "all jobs have ended", bound=60.0)
+        wait_until(
+            lambda: set(states(fleet).values()) <= ended, "all jobs have ended", timeout=60.0
+        )
         good = sorted(jobs[kind] for kind in kinds)
         assert sorted(fleet.finished_jobs()["finished"]) == good
         assert states(fleet)[jobs["broken"]] == "failed"
--- a/vanillawell/tests/maintenance_proof_tests.py
+++ b/vanillawell/tests/maintenance_proof_tests.py
@@ -64,7 +64,7 @@
 
 
 def check_wave(fleet: Fleet, replies: list[Any], reboots: int = 9) -> None:
-    record = fleet.margins()
+    record = fleet.availability_record()
     assert record["least_planned"]["pool-check"] >= BUDGET
     assert len(record["reboots"]) == reboots
     assert set(record["reboots"].values()) == {1}
@@ -93,11 +93,11 @@
         def script() -> None:
             wait_for_answers(callers, 20, "requests are answered")
             fleet.cli("maintenance", "start")
-            wait_until(lambda: wave_state(fleet)[0] == "done", "the wave ends", bound=90.0)
+            wait_until(lambda: wave_state(fleet)[0] == "done", "the wave ends", timeout=90.0)
 
         replies = run_during_load(callers, script)
         check_wave(fleet, replies)
-        record = fleet.margins()
+        record = fleet.availability_record()
         assert record["least_available"]["pool-check"] >= BUDGET + 1
         print(f"least available {record['least_available']}, moves {record['moves']}")
 
@@ -118,7 +118,7 @@
         def script() -> None:
             fleet.cli("maintenance", "start")
             wait_until(
-                lambda: small_rack_is_draining(fleet), "the small rack is draining", bound=60.0
+                lambda: small_rack_is_draining(fleet), "the small rack is draining", timeout=60.0
             )
             rack = [f"check-{number}" for number in range(1, 5)]
             fleet.fail_instances(rack, 4.0)
@@ -130,16 +130,16 @@
             callers.remove_entry(second)
             time.sleep(0.5)
             second.process.pause()
-            fleet.store_faults(down=True)
+            fleet.set_store_faults(down=True)
             time.sleep(1.0)
-            fleet.store_faults(down=False)
+            fleet.set_store_faults(down=False)
             time.sleep(3.0)
             second.process.resume()
-            wait_until(lambda: wave_state(fleet)[0] == "done", "the wave ends", bound=90.0)
+            wait_until(lambda: wave_state(fleet)[0] == "done", "the wave ends", timeout=90.0)
 
         run_during_load(callers, script)
         check_wave(fleet, [])
-        assert fleet.margins()["least_available"]["pool-check"] >= BUDGET
+        assert fleet.availability_record()["least_available"]["pool-check"] >= BUDGET
 
 
 def next_planner(fleet: Fleet, killed: EntryHandle) -> EntryHandle:
@@ -174,7 +174,7 @@
 
         def script() -> None:
             wait_for_answers(callers, 20, "requests are answered")
-            fleet.store_faults(lose_answers=1)
+            fleet.set_store_faults(lose_answers=1)
             fleet.cli("pool", "move", "check-5", "pool-stamp")
             started = time.monotonic()
             wait_until(placed, "the move ends")
@@ -220,7 +220,7 @@
             )
             assert executors("pool-stamp") == 6, "it was reassigned while it was in use"
             for name in ("store", "in", "out"):
-                fleet.clear(name)
+                fleet.clear_fault(name)
             wait_until(lambda: executors("pool-stamp") == 7, "the move ends after the cut")
 
         replies = run_during_load(callers, script)
@@ -229,6 +229,6 @@
 
 def cut_off_zone_2(fleet: Fleet) -> None:
     """Disconnect zone 2 from the store and from the other zone's entries."""
-    fleet.fault("store", "cut", link="store-2")
-    fleet.fault("out", "cut", link="peer", source_zone=2)
-    fleet.fault("in", "cut", link="peer", target_zone=2)
+    fleet.set_fault("store", "cut", link="store-2")
+    fleet.set_fault("out", "cut", link="peer", source_zone=2)
+    fleet.set_fault("in", "cut", link="peer", target_zone=2)
--- a/vanillawell/tests/rollout_proof_tests.py
+++ b/vanillawell/tests/rollout_proof_tests.py
@@ -59,14 +59,14 @@
     give access there.
     """
     with running_fleet(tmp_path, **THREE_ZONES) as fleet:
-        fleet.fault("cut", "cut", link="store-1")
+        fleet.set_fault("cut", "cut", link="store-1")
         started = time.monotonic()
         fleet.cli("key", "withdraw", "guild", "first")
         for entry in fleet.entries.values():
             wait_until(
                 lambda e=entry: send_one(e, Call()).status == 401,  # type: ignore[misc]
                 f"{entry.name} refuses the key",
-                bound=10.0,
+                timeout=10.0,
             )
         print(f"withdrawn key refused everywhere after {time.monotonic() - started:.2f} s")
 
@@ -80,9 +80,9 @@
         tmp_path, **THREE_ZONES, fleet_settings={"key_freshness": 4.0, "reserve": 1.0}
     ) as fleet:
         wait_until(lambda: all(units_held(e) for e in fleet.entries.values()), "all hold units")
-        fleet.fault("store", "cut", link="store-1")
-        fleet.fault("out", "cut", link="peer", source_zone=1)
-        fleet.fault("in", "cut", link="peer", target_zone=1)
+        fleet.set_fault("store", "cut", link="store-1")
+        fleet.set_fault("out", "cut", link="peer", source_zone=1)
+        fleet.set_fault("in", "cut", link="peer", target_zone=1)
         entry = fleet.entries["entry-1-1"]
         assert send_one(entry, Call()).status == 200
         wait_until(
@@ -90,7 +90,7 @@
             "it refuses after the bound",
         )
         for name in ("store", "out", "in"):
-            fleet.clear(name)
+            fleet.clear_fault(name)
         wait_until(lambda: send_one(entry, Call()).status == 200, "it serves again")
 
 
@@ -107,17 +107,17 @@
             "/v3/kv/range",
             {"key": b64encode(CONFIGURATION_KEY.encode()).decode()},
         )["kvs"][0]["value"]
-        fleet.fault("cut", "cut", link="store-1")
+        fleet.set_fault("cut", "cut", link="store-1")
         fleet.cli("node", "set", "guild", "limit=5")
         wait_until(lambda: min(versions(fleet)) == 2, "the cut-off zone receives it from peers")
-        fleet.store_faults(down=True)
+        fleet.set_store_faults(down=True)
         restarted = fleet.entries["entry-2-1"]
         restarted.process.kill()
         restarted.process.start()
-        fleet.store_faults(down=False)
+        fleet.set_store_faults(down=False)
         put = {"key": b64encode(CONFIGURATION_KEY.encode()).decode(), "value": older_value}
         control("127.0.0.1", int(fleet.store_address.rpartition(":")[2]), "/v3/kv/put", put)
-        fleet.clear("cut")
+        fleet.clear_fault("cut")
         wait_until(lambda: restarted.ready, "the restarted entry is ready")
         wait_until(
             lambda: min(versions(fleet)) == 2, "it receives the newer version from its peers"
@@ -137,7 +137,7 @@
     Each change is either accepted or refused with the differences; no accepted change is lost.
     """
     with running_fleet(tmp_path) as fleet:
-        fleet.store_faults(delay=0.4)
+        fleet.set_store_faults(delay=0.4)
         results: dict[int, Any] = {}
 
         def change(number: int) -> None:
@@ -162,7 +162,7 @@
 def test_a_change_whose_answer_was_lost_is_recognised(tmp_path: Path) -> None:
     """The store applies a change and its answer is lost; the command must not report a conflict."""
     with running_fleet(tmp_path) as fleet:
-        fleet.store_faults(lose_answers=1)
+        fleet.set_store_faults(lose_answers=1)
         fleet.cli("node", "set", "guild", "limit=5")
         history = fleet.cli("config", "history")
         assert [item["version"] for item in history] == [1, 2]
@@ -176,11 +176,11 @@
     """
     with running_fleet(tmp_path) as fleet:
         fleet.entries["entry-1-1"].process.kill()
-        fleet.store_faults(lose_reads=1)
+        fleet.set_store_faults(lose_reads=1)
         assert fleet.cli("node", "set", "guild", "limit=5")["version"] == 2
-        fleet.store_faults(lose_reads=1)
+        fleet.set_store_faults(lose_reads=1)
         assert [item["version"] for item in fleet.cli("config", "history")] == [1, 2]
-        fleet.store_faults(lose_reads=100)
+        fleet.set_store_faults(lose_reads=100)
         ended = fleet.try_cli("config", "history")
         assert ended.returncode == 4
         assert ended.stderr.startswith("vanillawell: store gave no answer")
--- a/vanillawell/tests/silence_proof_tests.py
+++ b/vanillawell/tests/silence_proof_tests.py
@@ -58,8 +58,8 @@
     arrive.
     """
     with running_fleet(tmp_path, **THREE_ZONES) as fleet:
-        fleet.fault("store", "silence-old", link="store")
-        fleet.fault("peers", "silence-old", link="peer")
+        fleet.set_fault("store", "silence-old", link="store")
+        fleet.set_fault("peers", "silence-old", link="peer")
         started = time.monotonic()
         fleet.cli("node", "set", "guild", "limit=5")
         wait_until(lambda: min(versions(fleet)) == 2, "the change is in force everywhere")
@@ -72,8 +72,8 @@
     That zone receives changes only from its peers, which requires new connections.
     """
     with running_fleet(tmp_path, **THREE_ZONES) as fleet:
-        fleet.fault("cut", "cut", link="store-1")
-        fleet.fault("peers", "silence-old", link="peer")
+        fleet.set_fault("cut", "cut", link="store-1")
+        fleet.set_fault("peers", "silence-old", link="peer")
         fleet.cli("node", "set", "guild", "limit=5")
         wait_until(lambda: min(versions(fleet)) == 2, "the change is in force everywhere")
 
@@ -81,8 +81,8 @@
 def test_a_zone_that_cannot_open_connections_receives_a_change(tmp_path: Path) -> None:
     """Zone 1 has lost the store and cannot open connections to peers, but peers can reach it."""
     with running_fleet(tmp_path, **THREE_ZONES) as fleet:
-        fleet.fault("store", "cut", link="store-1")
-        fleet.fault("out", "cut", link="peer", source_zone=1)
+        fleet.set_fault("store", "cut", link="store-1")
+        fleet.set_fault("out", "cut", link="peer", source_zone=1)
         fleet.cli("node", "set", "guild", "limit=5")
         wait_until(lambda: min(versions(fleet)) == 2, "the change is in force everywhere")
 
@@ -94,8 +94,8 @@
     updates: a change made minutes after a cut is as urgent as one made in its first second.
     """
     with running_fleet(tmp_path, **THREE_ZONES) as fleet:
-        fleet.fault("store", "cut", link="store-1")
-        fleet.fault("out", "cut", link="peer", source_zone=1)
+        fleet.set_fault("store", "cut", link="store-1")
+        fleet.set_fault("out", "cut", link="peer", source_zone=1)
         others = [entry for entry in fleet.entries.values() if entry.zone != 1]
         wait_until(
             lambda: all(entry.status()["entries"] == len(others) for entry in others),
@@ -120,8 +120,8 @@
 def test_a_zone_that_cannot_be_reached_receives_a_change(tmp_path: Path) -> None:
     """Zone 1 has lost the store and peers cannot connect to it, but it can connect to them."""
     with running_fleet(tmp_path, **THREE_ZONES) as fleet:
-        fleet.fault("store", "cut", link="store-1")
-        fleet.fault("in", "cut", link="peer", target_zone=1)
+        fleet.set_fault("store", "cut", link="store-1")
+        fleet.set_fault("in", "cut", link="peer", target_zone=1)
         fleet.cli("node", "set", "guild", "limit=5")
         wait_until(lambda: min(versions(fleet)) == 2, "the change is in force everywhere")
 
@@ -147,7 +147,7 @@
     Its unit of the limit and its slot on the executor must still be released.
     """
     with running_fleet(tmp_path, organisations={"guild": {"limit": 1}}) as fleet:
-        fleet.behave([], answer_bytes=60_000_000)
+        fleet.set_behaviour([], answer_bytes=60_000_000)
         entry = fleet.entries["entry-1-1"]
         with open_request(entry, "GET /check/item HTTP/1.1") as connection:
             connection.sendall(b"\r\n")
@@ -155,5 +155,5 @@
             wait_until(
                 lambda: entry.status()["organisations"]["guild"]["running"] == 0, "it is aborted"
             )
-        fleet.behave([], answer_bytes=0)
+        fleet.set_behaviour([], answer_bytes=0)
         wait_until(lambda: send_one(entry, Call()).status == 200, "the next request runs")
--- a/vanillawell/tests/startup_tests.py
+++ b/vanillawell/tests/startup_tests.py
@@ -23,7 +23,7 @@
     with running_fleet(tmp_path) as fleet:
         entry = fleet.entries["entry-1-1"]
         entry.process.kill()
-        fleet.store_faults(down=True)
+        fleet.set_store_faults(down=True)
         before = entry.process.log_text.count('"unreachable"')
         entry.process.start()
         wait_until(
@@ -36,7 +36,7 @@
         requests_before = lease_requests(fleet)
         wait_until(lambda: lease_requests(fleet) >= requests_before + 4, "the entry keeps retrying")
         assert not entry.ready
-        fleet.store_faults(down=False)
+        fleet.set_store_faults(down=False)
         wait_until(lambda: send_one(entry, Call()).status == 200, "the entry serves")
         assert entry.process.log_text.count('"unreachable"') == before + 1
 
@@ -75,11 +75,11 @@
             lambda: other.status()["entries"] == 1,
             "the other entry no longer counts it as a member",
         )
-        fleet.store_faults(down=True)
+        fleet.set_store_faults(down=True)
         entry.process.start()
         wait_until(lambda: entry.ready, "the entry has a configuration")
         wait_until(
             lambda: send_one(entry, Call()).problem == "no-limit-units", "the entry holds no units"
         )
-        fleet.store_faults(down=False)
+        fleet.set_store_faults(down=False)
         wait_until(lambda: send_one(entry, Call()).status == 200, "the entry serves")
