--- a/vanillawell/standins/measure/slopes.py
+++ b/vanillawell/standins/measure/slopes.py
@@ -66,7 +66,7 @@
     return min(times)
 
 
-def configuration_of(organisations: int, instances: int, pools: int = 32) -> Configuration:
+def build_configuration(organisations: int, instances: int, pools: int = 32) -> Configuration:
     """Build a configuration of a given size."""
     deployment = Deployment.model_validate(
         {
@@ -117,8 +117,8 @@
 
 def measure_configuration() -> dict[str, Fit]:
     """Measure documents, memory and processor time by organisations and instances."""
-    by_organisation = {n: configuration_of(n, 320).to_bytes() for n in ORGANISATION_SIZES}
-    by_instance = {n: configuration_of(100, n).to_bytes() for n in INSTANCE_SIZES}
+    by_organisation = {n: build_configuration(n, 320).to_bytes() for n in ORGANISATION_SIZES}
+    by_instance = {n: build_configuration(100, n).to_bytes() for n in INSTANCE_SIZES}
 
     def apply(data: bytes) -> Any:
         found = Configuration.from_bytes(data)
@@ -193,7 +193,7 @@
 
 def measure_division() -> dict[str, Fit]:
     """Measure one division of a pool's slots by the rows that it is made from."""
-    configuration = configuration_of(430, 4000)
+    configuration = build_configuration(430, 4000)
     policy = compile_policy(configuration.tree, 1, configuration.limit_changes)
     shares = {name: organisation.share for name, organisation in policy.organisations.items()}
 
--- a/vanillawell/standins/scheduler/executor.py
+++ b/vanillawell/standins/scheduler/executor.py
@@ -56,7 +56,7 @@
 class OrderFaults:
     """What goes wrong with orders now."""
 
-    silent: bool = False
+    unresponsive: bool = False
     """No call is answered, and new ones have no effect."""
 
     unhealthy: bool = False
@@ -68,7 +68,7 @@
     lose_reports: int = 0
     """So many of the next reports are made and do not arrive."""
 
-    apply_late: float = 0.0
+    late_start_delay: float = 0.0
     """Seconds after which the next start, once, is carried out without an answer."""
 
 
@@ -76,11 +76,11 @@
 class Audit:
     """What all executors together have seen."""
 
-    broken: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
     started: Counter[str] = field(default_factory=Counter)
     """Starts by task."""
 
-    resumed: dict[str, str] = field(default_factory=dict)
+    resumed_from: dict[str, str] = field(default_factory=dict)
     """Checkpoint that the latest start of a task carried, by task."""
 
     done: set[str] = field(default_factory=set)
@@ -102,7 +102,7 @@
         self.cpu = cpu
         self.born = born
         self.faults = OrderFaults()
-        self.holds = 0
+        self.hold_calls = 0
         self._audit = audit
         self._siblings = siblings
         self._began = time.monotonic()
@@ -136,12 +136,12 @@
     def leave(self) -> None:
         """End everything that runs here and answer nothing any more."""
         self._present.clear()
-        self.faults.silent = True
+        self.faults.unresponsive = True
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Answer one order."""
         body = await read_body(receive, LARGEST_BODY)
-        if self.faults.silent:
+        if self.faults.unresponsive:
             await anyio.sleep_forever()
         self._end_due()
         document = orjson.loads(body)
@@ -165,13 +165,13 @@
         await handler(document, send)
 
     async def _answer(self, send: Send, document: dict[str, Any], status: int = 200) -> None:
-        if self.faults.silent:
+        if self.faults.unresponsive:
             await anyio.sleep_forever()
         await send_json(send, {**document, "clockMs": self.clock, "born": self.born}, status)
 
     async def _start(self, document: dict[str, Any], send: Send) -> None:
-        if self.faults.apply_late:
-            delay, self.faults.apply_late = self.faults.apply_late, 0.0
+        if self.faults.late_start_delay:
+            delay, self.faults.late_start_delay = self.faults.late_start_delay, 0.0
             await anyio.sleep(delay)
             if document["fence"] >= self._fence:
                 self._carry_out(document)
@@ -212,16 +212,16 @@
             saves=text.get("saves", False),
         )
         self._audit.started[task] += 1
-        self._audit.resumed[task] = saved
+        self._audit.resumed_from[task] = saved
         if sum(item.need for item in self._present.values()) > self.cpu:
-            self._audit.broken.append(f"{self.name} is over its capacity with {task}")
+            self._audit.violations.append(f"{self.name} is over its capacity with {task}")
         return ""
 
     def _inspect(self, task: str) -> None:
         if task in self._audit.done:
-            self._audit.broken.append(f"{task} starts after a confirmed end")
+            self._audit.violations.append(f"{task} starts after a confirmed end")
         if any(task in other.running for other in self._siblings if other is not self):
-            self._audit.broken.append(f"{task} runs twice at the same time")
+            self._audit.violations.append(f"{task} runs twice at the same time")
 
     async def _stop(self, document: dict[str, Any], send: Send) -> None:
         task, number = document["task"], document["run"]
@@ -232,7 +232,7 @@
         await self._answer(send, {})
 
     async def _hold(self, document: dict[str, Any], send: Send) -> None:
-        self.holds += 1
+        self.hold_calls += 1
         if "deadlineMs" in document:
             self._lease_end = max(self._lease_end, document["deadlineMs"])
         seen = document["lastSeen"]
--- a/vanillawell/standins/scheduler/machines.py
+++ b/vanillawell/standins/scheduler/machines.py
@@ -38,10 +38,10 @@
     """An ASGI application that owns machines and gives advice."""
 
     machines: dict[str, StandInMachine] = field(default_factory=dict)
-    most_away: int = 0
+    max_away: int = 0
     """Most machines that were away for upkeep at the same time."""
 
-    allowed: set[str] | None = None
+    advised_executors: set[str] | None = None
     """Executors that advice names; None for all."""
 
     moves: list[tuple[str, str]] = field(default_factory=list)
@@ -63,7 +63,7 @@
     _tokens: dict[str, int] = field(default_factory=dict)
     _tasks: Any = None
 
-    def serve_with(self, tasks: Any) -> None:
+    def set_task_group(self, tasks: Any) -> None:
         """Let upkeeps end in tasks of this group."""
         self._tasks = tasks
 
@@ -83,7 +83,7 @@
             good = [
                 [name, f"ticket-{document['step']}-{name}"]
                 for name in document["workers"]
-                if self.allowed is None or name in self.allowed
+                if self.advised_executors is None or name in self.advised_executors
             ]
             await send_json(send, {"good": good})
             return
@@ -112,7 +112,7 @@
             machine.upkeeps += 1
             machine.state = "upkeep"
             away = sum(item.state == "upkeep" for item in self.machines.values())
-            self.most_away = max(self.most_away, away)
+            self.max_away = max(self.max_away, away)
             if self.on_upkeep:
                 await self.on_upkeep(machine)
             self._tasks.start_soon(self._finish, machine)
--- a/vanillawell/standins/scheduler/store.py
+++ b/vanillawell/standins/scheduler/store.py
@@ -52,19 +52,19 @@
     delay: float = 0.0
     """Seconds by which every answer is late."""
 
-    deaf: bool = False
+    withhold_changes: bool = False
     """Waiting calls hear of no change."""
 
     lose_answers: int = 0
     """So many of the next writes take effect and get no answer."""
 
-    lose_late: int = 0
+    late_writes: int = 0
     """So many of the next writes get no answer and take effect later, if they still can."""
 
-    lose_renewals: int = 0
+    lose_renewal_answers: int = 0
     """So many of the next renewals of a lease take effect and get no answer."""
 
-    only: Callable[[str], bool] = field(default=lambda _body: True)
+    write_filter: Callable[[str], bool] = field(default=lambda _body: True)
     """Which writes lose their answers, by their body."""
 
 
@@ -129,7 +129,7 @@
 
     def _events(self, prefix: str, after: int) -> list[dict[str, Any]]:
         """Return what a waiting call is told of the changes after a revision."""
-        if self.faults.deaf:
+        if self.faults.withhold_changes:
             return []
         return [
             event
@@ -139,9 +139,9 @@
 
     async def _write(self, path: str, body: bytes) -> tuple[int, dict[str, Any]]:
         faults = self.faults
-        matching = faults.only(body.decode())
-        if matching and faults.lose_late and path == "/kv-txn":
-            faults.lose_late -= 1
+        matching = faults.write_filter(body.decode())
+        if matching and faults.late_writes and path == "/kv-txn":
+            faults.late_writes -= 1
             await anyio.sleep(LATE)
             self._carry_out(path, body)
             await anyio.sleep_forever()
@@ -149,8 +149,8 @@
         if matching and faults.lose_answers and path == "/kv-txn":
             faults.lose_answers -= 1
             await anyio.sleep_forever()
-        if faults.lose_renewals and path.startswith("/kv-keep/"):
-            faults.lose_renewals -= 1
+        if faults.lose_renewal_answers and path.startswith("/kv-keep/"):
+            faults.lose_renewal_answers -= 1
             await anyio.sleep_forever()
         return result
 
@@ -215,7 +215,7 @@
         if self.items.pop(key, None) is not None:
             self._history.append({"key": key, "revision": self._revision, "tombstone": True})
 
-    def forget_history(self) -> None:
+    def compact_history(self) -> None:
         """Drop all history, so that whoever follows has to list again."""
         self._history.clear()
         self._kept_from = self._revision + 1
--- a/vanillawell/tests/advice_requester_tests.py
+++ b/vanillawell/tests/advice_requester_tests.py
@@ -121,7 +121,7 @@
     await built.members[0].call("POST", HINTED_PREFIX + built.new_id(), lasting)
     await until(lambda: bool(built.hosts["i-0"].executor.running))
     await built.add_executor("i-1")
-    await until(lambda: built.hosts["i-1"].executor.holds > 0)
+    await until(lambda: built.hosts["i-1"].executor.hold_calls > 0)
     await anyio.sleep(RULE.validity)
 
 
@@ -139,7 +139,7 @@
 async def test_a_lasting_task_stays_while_advice_names_no_other_executor(built: Cluster) -> None:
     """There is another executor with room, which may not run it. Stopped early, the task would be
     away for seconds in which it could still work."""
-    built.machines.allowed = {"i-0"}
+    built.machines.advised_executors = {"i-0"}
     await _lasting(built)
     built.drain("i-0", NOTICE)
     await anyio.sleep(IN_TIME)
--- a/vanillawell/tests/busy_owner_tests.py
+++ b/vanillawell/tests/busy_owner_tests.py
@@ -113,7 +113,7 @@
     for job_id in jobs:
         await until_state(owner, job_id, "completed", 5.0)
     ended = sum(built.audit.started.values())
-    holds = sum(executor.holds for executor in built.executors)
+    holds = sum(executor.hold_calls for executor in built.executors)
     assert holds * CALLS_SAVED < ended
 
 
--- a/vanillawell/tests/config_tests.py
+++ b/vanillawell/tests/config_tests.py
@@ -153,7 +153,7 @@
 
 
 def test_a_configuration_of_the_largest_size_fits_a_value_of_the_store() -> None:
-    document = slopes.configuration_of(430, 4000).to_bytes()
+    document = slopes.build_configuration(430, 4000).to_bytes()
     assert len(document) < 100_000
     assert len(Configuration.from_bytes(document).tree.of_kind("organisation")) == 430
 
--- a/vanillawell/tests/draining_tests.py
+++ b/vanillawell/tests/draining_tests.py
@@ -34,7 +34,7 @@
 
 async def _known(built: Cluster, name: str) -> None:
     """Wait until the owner has reached an executor, so that tasks can be placed there."""
-    await until(lambda: built.hosts[name].executor.holds > 0)
+    await until(lambda: built.hosts[name].executor.hold_calls > 0)
 
 
 @with_cluster(executors=1)
@@ -100,7 +100,7 @@
     built.drain("i-0", 1.5)
     await until(lambda: bool(built.hosts["i-1"].executor.running), 1.5)
     built.leave("i-0")
-    assert int(built.audit.resumed[f"{job_id}.0.0.0"]) > 0
+    assert int(built.audit.resumed_from[f"{job_id}.0.0.0"]) > 0
     await until_state(member, job_id, "completed", 4.0)
 
 
--- a/vanillawell/tests/executor_restart_tests.py
+++ b/vanillawell/tests/executor_restart_tests.py
@@ -38,5 +38,5 @@
     built.restart("i-0")
     built.register("i-0")
     executor = built.hosts["i-0"].executor
-    await until(lambda: executor.holds > 0)
+    await until(lambda: executor.hold_calls > 0)
     assert executor._lease_end / 1000 <= executor.clock / 1000 + TASK_LEASE + ROUNDING
--- a/vanillawell/tests/handover_outcome_tests.py
+++ b/vanillawell/tests/handover_outcome_tests.py
@@ -147,9 +147,9 @@
     task = f"{lasting}.0.0.0"
     await until(lambda: task in built.audit.started)
     executor = built.hosts["i-0"].executor
-    executor.faults.silent = True
+    executor.faults.unresponsive = True
     await anyio.sleep(OUTAGE + NOTICED)
-    executor.faults.silent = False
+    executor.faults.unresponsive = False
     await owner.call("POST", PREFIX + later, job())
     await until_state(owner, later, "completed", 5)
 
@@ -169,7 +169,7 @@
     await until(lambda: all(task in built.audit.started for task in tasks))
     built.store.faults.delay = 0.3
     await until(lambda: tasks[0] in built.audit.done)
-    built.store.faults.only = lambda body: "leases/all" in body
+    built.store.faults.write_filter = lambda body: "leases/all" in body
     built.store.faults.lose_answers = 1
     await owner.node.hand_over()
     await anyio.sleep(PROCESS_END - 1.0)
--- a/vanillawell/tests/owner_memory_tests.py
+++ b/vanillawell/tests/owner_memory_tests.py
@@ -99,7 +99,9 @@
     """A machine goes down, the owner is killed before it notices, and all others are stopped in
     turn. Each of them knows the executor for less time than the list of machines may be behind."""
     task = await silence_an_executor(built)
-    name = next(host.executor.name for host in built.hosts.values() if host.executor.faults.silent)
+    name = next(
+        host.executor.name for host in built.hosts.values() if host.executor.faults.unresponsive
+    )
     machine = built.machines.machines[built.hosts[name].machine]
     machine.state, machine.executor = "down", ""
     built.hosts[name].executor.crash()
@@ -174,7 +176,7 @@
 async def _replace_a_silent_executor(built: Cluster, name: str) -> None:
     """Let another executor live on the machine of the silent one, while the list of machines shows
     none."""
-    host = next(host for host in built.hosts.values() if host.executor.faults.silent)
+    host = next(host for host in built.hosts.values() if host.executor.faults.unresponsive)
     host.executor.leave()
     built.machines.machines.clear()
     await built.add_executor(name, machine=host.machine, born=host.executor.born + 5_000)
--- a/vanillawell/tests/pool_rebalancer_tests.py
+++ b/vanillawell/tests/pool_rebalancer_tests.py
@@ -32,7 +32,7 @@
     await member.call("POST", PREFIX + first, job())
     await until_state(member, first, "completed")
     for host in list(built.hosts.values()):
-        host.executor.faults.silent = True
+        host.executor.faults.unresponsive = True
         built.store.delete(f"servers/{host.executor.name}")
         del built.machines.machines[host.machine]
     await until(lambda: built.machines.machines["spare-1"].pool == POOL, 8)
@@ -51,7 +51,7 @@
     machines = built.machines.machines
 
     async def moved(machine: StandInMachine) -> None:
-        built.hosts[machine.executor].executor.faults.silent = True
+        built.hosts[machine.executor].executor.faults.unresponsive = True
 
     built.machines.on_move = moved
     configure_standby(built)
@@ -72,12 +72,12 @@
     built.machines.machines["spare-1"] = StandInMachine("spare-1", STANDBY, "")
     configure_standby(built)
     await anyio.sleep(0.3)
-    built.store.faults.deaf = True
+    built.store.faults.withhold_changes = True
     await member.call("POST", PREFIX + first, job(step(60), spec={"seconds": 0.8}))
     await until(lambda: any(name.startswith("moved") for name in built.hosts))
     (host,) = [host for name, host in built.hosts.items() if name.startswith("moved")]
     await until(lambda: bool(host.executor.running), 4.0)
-    built.store.faults.deaf = False
+    built.store.faults.withhold_changes = False
 
 
 @with_cluster(executors=2)
@@ -90,7 +90,7 @@
     configure_standby(built)
     await member.call("POST", PREFIX + job_id, job(step(10), spec={"seconds": 3}))
     await until(lambda: all(host.executor.running for host in built.hosts.values()))
-    built.executors[0].faults.silent = True
+    built.executors[0].faults.unresponsive = True
     await until(lambda: built.machines.machines["spare-1"].pool == POOL, 2.5)
 
 
--- a/vanillawell/tests/renewal_tests.py
+++ b/vanillawell/tests/renewal_tests.py
@@ -19,8 +19,8 @@
     owner = await built.owner()
     term = owner.node.term
     assert term is not None
-    built.store.faults.lose_renewals = 1
-    await until(lambda: built.store.faults.lose_renewals == 0)
+    built.store.faults.lose_renewal_answers = 1
+    await until(lambda: built.store.faults.lose_renewal_answers == 0)
     await anyio.sleep(2 * LEASE)
     assert owner.node.term is term
 
@@ -33,7 +33,7 @@
     other = next(member for member in built.members if member is not former)
     term = former.node.term
     assert term is not None
-    built.store.faults.only = lambda body: "holder/all" in body
+    built.store.faults.write_filter = lambda body: "holder/all" in body
     built.store.faults.lose_answers = 1
     await built.kill(former)
     await until(lambda: built.store.faults.lose_answers == 0)
--- a/vanillawell/tests/renewed_lease_tests.py
+++ b/vanillawell/tests/renewed_lease_tests.py
@@ -164,10 +164,10 @@
                 for _ in range(3):
                     readings.start_soon(store.get, "key")
             opened = http.opened
-            stand_in.faults.lose_renewals = 1
+            stand_in.faults.lose_renewal_answers = 1
             tasks.start_soon(lease.keep)
             await anyio.sleep(TTL / RENEWALS + DOUBT + 0.2)
-            assert stand_in.faults.lose_renewals == 0
+            assert stand_in.faults.lose_renewal_answers == 0
             assert http.opened == opened + 1
             assert lease.is_held(granted + TTL + 0.1)
             tasks.cancel_scope.cancel()
--- a/vanillawell/tests/scheduler_cluster.py
+++ b/vanillawell/tests/scheduler_cluster.py
@@ -362,7 +362,7 @@
     """Run a cluster whose schedulers have a configuration and know all executors."""
     async with anyio.create_task_group() as tasks:
         store, machines = StandInStore(), StandInMachines()
-        machines.serve_with(tasks)
+        machines.set_task_group(tasks)
         store.put_document("op/config", config())
         built = Cluster(tasks, store, listen(tasks, store), machines, listen(tasks, machines))
         tasks.start_soon(store.tick)
@@ -389,7 +389,7 @@
         async def run() -> None:
             async with cluster(members, executors) as built:
                 await test(built)
-            assert built.audit.broken == []
+            assert built.audit.violations == []
 
         @functools.wraps(test)
         def plain() -> None:
--- a/vanillawell/tests/scheduler_failure_tests.py
+++ b/vanillawell/tests/scheduler_failure_tests.py
@@ -69,11 +69,11 @@
     owns the shard soon after the store can be heard again, or all jobs would wait for good."""
     owner = await built.owner()
     survivor = next(member for member in built.members if member is not owner)
-    built.store.faults.deaf = True
+    built.store.faults.withhold_changes = True
     await built.kill(owner)
     await until(lambda: WorkKeys().holder("all") not in built.store.items, 3)
     await anyio.sleep(2 * HOLDER_WAIT)
-    built.store.faults.deaf = False
+    built.store.faults.withhold_changes = False
     await until(lambda: survivor.owns, 2.5)
 
 
@@ -106,7 +106,7 @@
     """The store takes a job in and its answer is lost. The caller must not hear that the job was
     refused: it would hand the work in elsewhere while it runs here."""
     member, job_id = built.members[0], built.new_id()
-    built.store.faults.only = lambda body: "inbox/job" in body
+    built.store.faults.write_filter = lambda body: "inbox/job" in body
     built.store.faults.lose_answers = 1
     reply = await member.call("POST", PREFIX + job_id, job(), wait_ms=4000)
     assert reply.status == 200
@@ -118,8 +118,8 @@
     """The write of a job gets no answer until the caller's time is over, and takes effect later.
     The caller is told that nothing is known, and its next try finds the one job."""
     member, job_id = built.members[0], built.new_id()
-    built.store.faults.only = lambda body: "inbox/job" in body
-    built.store.faults.lose_late = 1
+    built.store.faults.write_filter = lambda body: "inbox/job" in body
+    built.store.faults.late_writes = 1
     reply = await member.call("POST", PREFIX + job_id, job(), wait_ms=900)
     assert reply.status == 504
     await anyio.sleep(0.8)
@@ -134,10 +134,10 @@
     newer ones were tried. Callers only wait longer."""
     member = built.members[0]
     ids = [built.new_id() for _ in range(6)]
-    built.store.faults.only = lambda body: "vanillawell/record" in body
+    built.store.faults.write_filter = lambda body: "vanillawell/record" in body
     for number, job_id in enumerate(ids):
         built.store.faults.lose_answers = number % 2
-        built.store.faults.lose_late = (number + 1) % 2
+        built.store.faults.late_writes = (number + 1) % 2
         await member.call("POST", PREFIX + job_id, job(step(2), step(1, after=[0])))
         await anyio.sleep(0.1)
     for job_id in ids:
@@ -229,7 +229,7 @@
     been started elsewhere. It is ruled out at its executor first."""
     member, job_id = built.members[0], built.new_id()
     for executor in built.executors:
-        executor.faults.apply_late = 2.0
+        executor.faults.late_start_delay = 2.0
     await member.call("POST", PREFIX + job_id, job(step(2), spec={"seconds": 1.5}))
     await until_state(member, job_id, "completed", 10)
     await anyio.sleep(1.0)
@@ -257,7 +257,7 @@
     await until(lambda: running(built) == 2)
     silent = next(host for host in built.hosts.values() if host.executor.running)
     task = next(iter(silent.executor.running))
-    silent.executor.faults.silent = True
+    silent.executor.faults.unresponsive = True
     built.store.delete(f"servers/{silent.executor.name}")
     await until(lambda: built.audit.started[task] == 2, 12)
 
@@ -268,7 +268,7 @@
     member = built.members[0]
     ids = [built.new_id() for _ in range(4)]
     for job_id in ids:
-        built.store.forget_history()
+        built.store.compact_history()
         await member.call("POST", PREFIX + job_id, job())
     for job_id in ids:
         await until_state(member, job_id, "completed")
@@ -279,7 +279,7 @@
     """The store tells of no change for some seconds. Jobs start all the same, well before it
     tells again, and a job that is cancelled meanwhile is stopped."""
     member, first, second = built.members[0], built.new_id(), built.new_id()
-    built.store.faults.deaf = True
+    built.store.faults.withhold_changes = True
     await anyio.sleep(0.3)
     await member.call("POST", PREFIX + first, job())
     await until(lambda: bool(built.audit.started), 1.0)
@@ -287,7 +287,7 @@
     await member.call("DELETE", PREFIX + second)
     await until_state(member, second, "cancelled")
     await until(lambda: running(built) == 0)
-    built.store.faults.deaf = False
+    built.store.faults.withhold_changes = False
 
 
 @with_cluster(members=2)
@@ -316,7 +316,7 @@
     await until(lambda: running(built) == 1)
     name = next(executor.name for executor in built.executors if executor.running)
     for executor in built.executors:
-        executor.faults.silent = executor.name == name
+        executor.faults.unresponsive = executor.name == name
     await owner.call("DELETE", PREFIX + job_id)
     built.store.delete(f"servers/{name}")
     await anyio.sleep(0.2)
@@ -376,7 +376,7 @@
     await until(lambda: running(built) == 5)
     dark, other = [executor for executor in built.executors if len(executor.running) == 2]
     kept = next(name for name in other.running if name.startswith(job_id))
-    dark.faults.silent = True
+    dark.faults.unresponsive = True
     await anyio.sleep(2.0)
     wave = {"wave": 1, "machines": [f"machine-of-{other.name}"], "durationS": 20, "maximum": 1}
     built.store.put_document("op/wave/1", wave)
--- a/vanillawell/tests/scheduler_path_tests.py
+++ b/vanillawell/tests/scheduler_path_tests.py
@@ -173,7 +173,7 @@
 
 @with_cluster()
 async def test_a_queue_with_advice_uses_only_the_executors_named(built: Cluster) -> None:
-    built.machines.allowed = {"i-1"}
+    built.machines.advised_executors = {"i-1"}
     job_id, member = built.new_id(), built.members[0]
     await member.call("POST", HINTED_PREFIX + job_id, job(step(3)))
     await until(lambda: len(built.audit.started) == 3)
@@ -206,7 +206,7 @@
 
     await until(completed, 15)
     assert [machine.upkeeps for machine in built.machines.machines.values()] == [1, 1, 1]
-    assert built.machines.most_away == 1
+    assert built.machines.max_away == 1
     await until(lambda: sum(len(executor.running) for executor in built.executors) == 2)
 
 
--- a/vanillawell/tests/shard_claim_tests.py
+++ b/vanillawell/tests/shard_claim_tests.py
@@ -69,7 +69,7 @@
     """Its second try has taken the shard by then, and the owner has written since."""
 
     async def check(stand_in: StandInStore, store: PlatformStore) -> None:
-        stand_in.faults.lose_late = 1
+        stand_in.faults.late_writes = 1
         term = await _win(store)
         await term.write([Put("value/0", b"x")])
         written = stand_in.items[KEYS.term("all")].revision
@@ -88,7 +88,7 @@
     entry that does not know of it."""
 
     async def check(stand_in: StandInStore, store: PlatformStore) -> None:
-        stand_in.faults.lose_late = TRIES
+        stand_in.faults.late_writes = TRIES
         candidate = Candidate(store, KEYS, "all", "entry-0")
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(candidate.follow)
--- a/vanillawell/tests/stopping_owner_tests.py
+++ b/vanillawell/tests/stopping_owner_tests.py
@@ -96,7 +96,7 @@
     process ends. Deciding nothing, it would let all jobs wait for that, and then for its lease."""
     owner, job_id = await built.owner(), built.new_id()
     other = next(member for member in built.members if member is not owner)
-    built.store.faults.only = lambda body: "leases/all" in body
+    built.store.faults.write_filter = lambda body: "leases/all" in body
     built.store.faults.lose_answers = 1
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(_end_process, built, owner)
@@ -118,7 +118,7 @@
     owner = await built.owner()
     other = next(member for member in built.members if member is not owner)
     task = await lasting_task(built, owner)
-    built.store.faults.only = lambda body: "leases/all" in body
+    built.store.faults.write_filter = lambda body: "leases/all" in body
     built.store.faults.lose_answers = 1
     with anyio.fail_after(STOP):
         await owner.node.hand_over()
--- a/vanillawell/tests/store_health_tests.py
+++ b/vanillawell/tests/store_health_tests.py
@@ -72,7 +72,7 @@
     """One write was carried out and its answer lost. The store answers all others; the next
     caller's job is taken."""
     member, jobs = await built.owner(), [built.new_id() for _ in range(2)]
-    built.store.faults.only = lambda body: "vanillawell/order/" in body
+    built.store.faults.write_filter = lambda body: "vanillawell/order/" in body
     built.store.faults.lose_answers = 1
     async with anyio.create_task_group() as callers:
         callers.start_soon(member.call, "POST", JOBS + jobs[0], job())
--- a/vanillawell/tests/successive_owners_tests.py
+++ b/vanillawell/tests/successive_owners_tests.py
@@ -38,7 +38,7 @@
     task = f"{job_id}.0.0.0"
     await until(lambda: task in built.audit.started)
     host = next(host for host in built.hosts.values() if task in host.executor.running)
-    host.executor.faults.silent = True
+    host.executor.faults.unresponsive = True
     built.store.delete(f"servers/{host.executor.name}")
     return task
 
@@ -120,7 +120,9 @@
     """A machine goes down and the owner is killed before it notices. The list of machines tells its
     successor that nothing runs there, so the lasting task runs again within the promised time."""
     task = await silence_an_executor(built)
-    name = next(host.executor.name for host in built.hosts.values() if host.executor.faults.silent)
+    name = next(
+        host.executor.name for host in built.hosts.values() if host.executor.faults.unresponsive
+    )
     machine = built.machines.machines[built.hosts[name].machine]
     machine.state, machine.executor = "down", ""
     built.hosts[name].executor.crash()
--- a/vanillawell/tests/term_tests.py
+++ b/vanillawell/tests/term_tests.py
@@ -237,11 +237,11 @@
             tasks.start_soon(candidate.follow)
             await anyio.sleep(0.3)
             assert candidate.holder is not None
-            stand_in.faults.deaf = True
+            stand_in.faults.withhold_changes = True
             await anyio.sleep(0.5)
             stand_in.faults.down = True
             await anyio.sleep(3.5)
-            stand_in.faults.deaf = stand_in.faults.down = False
+            stand_in.faults.withhold_changes = stand_in.faults.down = False
             with anyio.fail_after(2.0):
                 await candidate.win()
             tasks.cancel_scope.cancel()
--- a/vanillawell/tests/weak_owner_tests.py
+++ b/vanillawell/tests/weak_owner_tests.py
@@ -131,7 +131,7 @@
     task = f"{job_id}.0.0.0"
     await until(lambda: task in built.audit.started)
     before = token(built)
-    built.store.faults.only = lambda body: "leases/all" in body
+    built.store.faults.write_filter = lambda body: "leases/all" in body
     built.store.faults.lose_answers = 3
     built.store.put_document(WorkKeys().bid("all"), asdict(Contender("stronger/0", 0.0)))
     await until(lambda: built.store.faults.lose_answers < 3)
