--- a/vanillawell/standins/scheduler/__init__.py
+++ b/vanillawell/standins/scheduler/__init__.py
@@ -1,1 +1,1 @@
-"""Stand in for what the scheduler meets on the users' platform, in its published formats."""
+"""Stand-ins for the platform services of the scheduler, speaking their published formats."""
--- a/vanillawell/standins/scheduler/executor.py
+++ b/vanillawell/standins/scheduler/executor.py
@@ -1,4 +1,4 @@
-"""Stand in for executors, and note from their side every promise that an order breaks."""
+"""Stand-in for executors that records every order that breaks a guarantee of the scheduler."""
 
 from __future__ import annotations
 
@@ -16,85 +16,85 @@
 if TYPE_CHECKING:
     from vanillawell.transport.asgi import Receive, Scope, Send
 
-LARGEST_BODY = 300_000
-"""Bytes of a request that are read."""
+MAX_BODY_BYTES = 300_000
+"""Bytes of a request body that are read at most."""
 
-STEP = 0.005
-"""Seconds between two looks at what has ended."""
+CHECK_INTERVAL = 0.005
+"""Seconds between two checks for runs that are due to end."""
 
-DEFAULT_SECONDS = 0.2
-"""Seconds that a task works whose text says nothing else."""
+DEFAULT_RUN_SECONDS = 0.2
+"""Seconds that a task runs unless its spec sets `seconds`."""
 
-SHOWN_ENDS = 500
-"""Ends in one report, as published."""
+MAX_REPORTED_ENDS = 500
+"""Ended runs in one report, the limit of the published protocol."""
 
 
 @dataclass(slots=True)
-class Present:
-    """One run on an executor."""
+class ActiveRun:
+    """One run that is active on an executor."""
 
     task: str
     number: int
-    need: int
+    cpu: int
     ends_at: float
-    how: str
+    outcome: str
     stopping: bool = False
-    began: float = 0.0
-    saves: bool = False
-    """Whether it tells how far it has come, and leaves that as a checkpoint when it is stopped."""
+    started_at: float = 0.0
+    saves_progress: bool = False
+    """Whether the run reports its progress, and saves it as a checkpoint when it is stopped."""
 
     @property
     def percent(self) -> int:
-        """Return how far it has come; tasks that don't tell are shown as being at work."""
-        if not self.saves:
+        """Return the progress in percent; always 100 for tasks that don't report it."""
+        if not self.saves_progress:
             return 100
-        worked = (time.monotonic() - self.began) / (self.ends_at - self.began)
+        worked = (time.monotonic() - self.started_at) / (self.ends_at - self.started_at)
         return min(100, int(100 * worked))
 
 
 @dataclass(slots=True)
 class OrderFaults:
-    """What goes wrong with orders now."""
+    """Faults that are currently injected into the handling of orders."""
 
     unresponsive: bool = False
-    """No call is answered, and new ones have no effect."""
+    """No call is answered, and new calls have no effect."""
 
     unhealthy: bool = False
-    """Every call is refused and has no effect."""
+    """Every call is refused with 503 and has no effect."""
 
     lose_answers: int = 0
-    """So many of the next starts are carried out and get no answer."""
+    """Number of upcoming starts that are carried out but not answered."""
 
     lose_reports: int = 0
-    """So many of the next reports are made and do not arrive."""
+    """Number of upcoming reports that are made but do not arrive."""
 
     late_start_delay: float = 0.0
-    """Seconds after which the next start, once, is carried out without an answer."""
+    """Seconds after which the next start is carried out without an answer; applies once."""
 
 
 @dataclass(slots=True)
 class Audit:
-    """What all executors together have seen."""
+    """Observations of all executors of a test together."""
 
     violations: list[str] = field(default_factory=list)
     started: Counter[str] = field(default_factory=Counter)
-    """Starts by task."""
+    """Number of starts, by task."""
 
     resumed_from: dict[str, str] = field(default_factory=dict)
-    """Checkpoint that the latest start of a task carried, by task."""
+    """Checkpoint in the latest start of a task, by task."""
 
     done: set[str] = field(default_factory=set)
-    """Tasks one of whose runs has ended well and was confirmed."""
+    """Tasks with a run that ended successfully and whose end the scheduler confirmed."""
 
 
 class StandInExecutor:
-    """One life of an executor, an ASGI application."""
+    """One incarnation of an executor, as an ASGI application."""
 
     def __init__(
         self,
         name: str,
         audit: Audit,
-        siblings: list[StandInExecutor],
+        executors: list[StandInExecutor],
         cpu: int = 8_000,
         born: int = 1_000,
     ) -> None:
@@ -104,46 +104,46 @@
         self.faults = OrderFaults()
         self.hold_calls = 0
         self._audit = audit
-        self._siblings = siblings
-        self._began = time.monotonic()
+        self._executors = executors
+        self._started_at = time.monotonic()
         self._fence = 0
         self._lease_end = 0.0
-        self._present: dict[str, Present] = {}
-        self._closed: dict[str, int] = {}
-        self._ends: list[list[Any]] = []
-        self._numbers = itertools.count(1)
-        self._ended = anyio.Event()
+        self._active_runs: dict[str, ActiveRun] = {}
+        self._last_closed_runs: dict[str, int] = {}
+        self._unconfirmed_ends: list[list[Any]] = []
+        self._end_numbers = itertools.count(1)
+        self._run_ended = anyio.Event()
 
     @property
     def running(self) -> set[str]:
-        """Return the tasks that are present."""
-        return set(self._present)
+        """Return the tasks that have an active run."""
+        return set(self._active_runs)
 
     @property
     def clock(self) -> int:
-        """Return the milliseconds since the life began."""
-        return int((time.monotonic() - self._began) * 1000)
+        """Return the milliseconds since this incarnation started."""
+        return int((time.monotonic() - self._started_at) * 1000)
 
     def crash(self) -> StandInExecutor:
-        """End this life; returns the next one, which knows nothing of it."""
-        self._present.clear()
+        """End this incarnation; return the next one, which keeps no state of it."""
+        self._active_runs.clear()
         successor = StandInExecutor(
-            self.name, self._audit, self._siblings, self.cpu, self.born + 5_000
+            self.name, self._audit, self._executors, self.cpu, self.born + 5_000
         )
-        self._siblings[self._siblings.index(self)] = successor
+        self._executors[self._executors.index(self)] = successor
         return successor
 
     def leave(self) -> None:
-        """End everything that runs here and answer nothing any more."""
-        self._present.clear()
+        """End all runs and stop answering calls."""
+        self._active_runs.clear()
         self.faults.unresponsive = True
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer one order."""
-        body = await read_body(receive, LARGEST_BODY)
+        """Handle one order."""
+        body = await read_body(receive, MAX_BODY_BYTES)
         if self.faults.unresponsive:
             await anyio.sleep_forever()
-        self._end_due()
+        self._end_due_runs()
         document = orjson.loads(body)
         expected = dict(scope["headers"]).get(b"x-expect-instance", b"").decode()
         if expected and expected != self.name:
@@ -174,9 +174,9 @@
             delay, self.faults.late_start_delay = self.faults.late_start_delay, 0.0
             await anyio.sleep(delay)
             if document["fence"] >= self._fence:
-                self._carry_out(document)
+                self._start_run(document)
             await anyio.sleep_forever()
-        reason = self._carry_out(document)
+        reason = self._start_run(document)
         if self.faults.lose_answers:
             self.faults.lose_answers -= 1
             await anyio.sleep_forever()
@@ -185,66 +185,68 @@
         else:
             await self._answer(send, {})
 
-    def _carry_out(self, document: dict[str, Any]) -> str:
-        """Begin a run; returns why not, or an empty string."""
+    def _start_run(self, document: dict[str, Any]) -> str:
+        """Start a run; return the reason of the refusal, or an empty string."""
         task, number = document["task"], document["run"]
-        present = self._present.get(task)
-        if present and present.number == number:
+        active = self._active_runs.get(task)
+        if active and active.number == number:
             return ""
-        if number <= self._closed.get(task, 0):
+        if number <= self._last_closed_runs.get(task, 0):
             return "old"
         if document["deadlineMs"] <= self.clock:
             return "late"
         self._lease_end = max(self._lease_end, document["deadlineMs"])
-        self._inspect(task)
-        text = orjson.loads(document["spec"] or "{}")
-        began = time.monotonic()
-        saved = document.get("lastCheckpoint", "")
-        ends_at = began + text.get("seconds", DEFAULT_SECONDS) * (1 - int(saved or 0) / 100)
-        how = "failed" if text.get("fails") else "done"
-        self._present[task] = Present(
+        self._check_guarantees(task)
+        spec = orjson.loads(document["spec"] or "{}")
+        started_at = time.monotonic()
+        checkpoint = document.get("lastCheckpoint", "")
+        ends_at = started_at + spec.get("seconds", DEFAULT_RUN_SECONDS) * (
+            1 - int(checkpoint or 0) / 100
+        )
+        outcome = "failed" if spec.get("fails") else "done"
+        self._active_runs[task] = ActiveRun(
             task,
             number,
-            text.get("cpu", 1_000),
+            spec.get("cpu", 1_000),
             ends_at,
-            how,
-            began=began,
-            saves=text.get("saves", False),
+            outcome,
+            started_at=started_at,
+            saves_progress=spec.get("saves", False),
         )
         self._audit.started[task] += 1
-        self._audit.resumed_from[task] = saved
-        if sum(item.need for item in self._present.values()) > self.cpu:
-            self._audit.violations.append(f"{self.name} is over its capacity with {task}")
+        self._audit.resumed_from[task] = checkpoint
+        if sum(run.cpu for run in self._active_runs.values()) > self.cpu:
+            self._audit.violations.append(f"{self.name} exceeds its CPU capacity with {task}")
         return ""
 
-    def _inspect(self, task: str) -> None:
+    def _check_guarantees(self, task: str) -> None:
         if task in self._audit.done:
-            self._audit.violations.append(f"{task} starts after a confirmed end")
-        if any(task in other.running for other in self._siblings if other is not self):
-            self._audit.violations.append(f"{task} runs twice at the same time")
+            self._audit.violations.append(f"{task} starts after its end was confirmed")
+        if any(task in other.running for other in self._executors if other is not self):
+            self._audit.violations.append(f"{task} runs on two executors at the same time")
 
     async def _stop(self, document: dict[str, Any], send: Send) -> None:
         task, number = document["task"], document["run"]
-        self._closed[task] = max(self._closed.get(task, 0), number)
-        present = self._present.get(task)
-        if present and present.number <= number:
-            self._end(present, "stopped")
+        self._last_closed_runs[task] = max(self._last_closed_runs.get(task, 0), number)
+        active = self._active_runs.get(task)
+        if active and active.number <= number:
+            self._end_run(active, "stopped")
         await self._answer(send, {})
 
     async def _hold(self, document: dict[str, Any], send: Send) -> None:
         self.hold_calls += 1
         if "deadlineMs" in document:
             self._lease_end = max(self._lease_end, document["deadlineMs"])
-        seen = document["lastSeen"]
-        for number, task, _, how, _ in self._ends:
-            if number <= seen and how == "done":
+        last_seen = document["lastSeen"]
+        for number, task, _, outcome, _ in self._unconfirmed_ends:
+            if number <= last_seen and outcome == "done":
                 self._audit.done.add(task)
-        self._ends = [end for end in self._ends if end[0] > seen]
-        if not self._ends:
+        self._unconfirmed_ends = [end for end in self._unconfirmed_ends if end[0] > last_seen]
+        if not self._unconfirmed_ends:
             with anyio.move_on_after(document.get("waitMs", 0) / 1000):
-                await self._ended.wait()
-        running = [[item.task, item.number, "", item.percent, 0] for item in self._present.values()]
-        ended = list(self._ends[:SHOWN_ENDS])
+                await self._run_ended.wait()
+        running = [[run.task, run.number, "", run.percent, 0] for run in self._active_runs.values()]
+        ended = list(self._unconfirmed_ends[:MAX_REPORTED_ENDS])
         if self.faults.lose_reports:
             self.faults.lose_reports -= 1
             await anyio.sleep_forever()
@@ -253,25 +255,27 @@
     async def _pace(self, document: dict[str, Any], send: Send) -> None:
         await self._answer(send, {})
 
-    def _end(self, present: Present, how: str) -> None:
-        del self._present[present.task]
-        self._closed[present.task] = max(self._closed.get(present.task, 0), present.number)
-        saved = str(present.percent) if present.saves and how == "stopped" else ""
-        self._ends.append([next(self._numbers), present.task, present.number, how, saved])
-        self._ended.set()
-        self._ended = anyio.Event()
+    def _end_run(self, run: ActiveRun, outcome: str) -> None:
+        del self._active_runs[run.task]
+        self._last_closed_runs[run.task] = max(self._last_closed_runs.get(run.task, 0), run.number)
+        checkpoint = str(run.percent) if run.saves_progress and outcome == "stopped" else ""
+        self._unconfirmed_ends.append(
+            [next(self._end_numbers), run.task, run.number, outcome, checkpoint]
+        )
+        self._run_ended.set()
+        self._run_ended = anyio.Event()
 
-    def _end_due(self) -> None:
+    def _end_due_runs(self) -> None:
         now = time.monotonic()
-        lapsed = self._lease_end and self.clock > self._lease_end
-        for present in list(self._present.values()):
-            if lapsed:
-                self._end(present, "lapsed")
-            elif present.ends_at <= now:
-                self._end(present, present.how)
+        lease_expired = self._lease_end and self.clock > self._lease_end
+        for run in list(self._active_runs.values()):
+            if lease_expired:
+                self._end_run(run, "lapsed")
+            elif run.ends_at <= now:
+                self._end_run(run, run.outcome)
 
     async def tick(self) -> None:
-        """End runs in time even if nobody calls."""
+        """End due runs on time even while no calls arrive."""
         while True:
-            await anyio.sleep(STEP)
-            self._end_due()
+            await anyio.sleep(CHECK_INTERVAL)
+            self._end_due_runs()
--- a/vanillawell/standins/scheduler/machines.py
+++ b/vanillawell/standins/scheduler/machines.py
@@ -1,4 +1,4 @@
-"""Stand in for the services that own machines and give advice."""
+"""Stand-in for the platform's services that manage machines and advise on placement."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
     from vanillawell.transport.asgi import Receive, Scope, Send
 
-LARGEST_BODY = 100_000
-"""Bytes of a request that are read."""
+MAX_BODY_BYTES = 100_000
+"""Bytes of a request body that are read at most."""
 
-UPKEEP_SECONDS = 0.5
-"""Seconds that the upkeep of a machine takes here."""
+UPKEEP_DURATION = 0.5
+"""Seconds that the upkeep of a machine takes in the stand-in."""
 
 
 @dataclass(slots=True)
 class StandInMachine:
-    """One machine."""
+    """One machine, with its pool, its executor and its state."""
 
     name: str
     pool: str
@@ -35,57 +35,57 @@
 
 @dataclass(slots=True)
 class StandInMachines:
-    """An ASGI application that owns machines and gives advice."""
+    """ASGI application that manages machines and answers requests for advice."""
 
     machines: dict[str, StandInMachine] = field(default_factory=dict)
     max_away: int = 0
-    """Most machines that were away for upkeep at the same time."""
+    """Maximum number of machines that were in upkeep at the same time."""
 
     advised_executors: set[str] | None = None
-    """Executors that advice names; None for all."""
+    """Executors that the advice approves of; None approves of all."""
 
     moves: list[tuple[str, str]] = field(default_factory=list)
-    """Orders to move a machine into a pool, those without effect included."""
+    """Machine and target pool of every order to move, including orders without effect."""
 
     move_seconds: float = 0.0
-    """Seconds until the order for a move is carried out and answered."""
+    """Seconds until an order to move a machine is carried out and answered."""
 
     upkeep_answer_seconds: float = 0.0
-    """Seconds until the order for an upkeep is carried out and answered."""
+    """Seconds until an order for upkeep is carried out and answered."""
 
     advice_calls: int = 0
     on_move: Callable[[StandInMachine], Awaitable[None]] | None = None
-    """Called once a machine has changed its pool."""
+    """Called after a machine has changed its pool."""
 
     on_upkeep: Callable[[StandInMachine], Awaitable[None]] | None = None
-    """Called when an upkeep begins and when it is over."""
+    """Called when the upkeep of a machine begins and when it ends."""
 
-    _tokens: dict[str, int] = field(default_factory=dict)
-    _tasks: Any = None
+    _fencing_tokens: dict[str, int] = field(default_factory=dict)
+    _task_group: Any = None
 
-    def set_task_group(self, tasks: Any) -> None:
-        """Let upkeeps end in tasks of this group."""
-        self._tasks = tasks
+    def set_task_group(self, task_group: Any) -> None:
+        """Set the task group in which callbacks for moves and the ends of upkeeps run."""
+        self._task_group = task_group
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer one call."""
-        body = await read_body(receive, LARGEST_BODY)
+        """Answer one request."""
+        body = await read_body(receive, MAX_BODY_BYTES)
         if scope["path"] == "/machines":
-            listed = [
+            rows = [
                 {"machine": item.name, "pool": item.pool, "state": item.state, "id": item.executor}
                 for item in self.machines.values()
             ]
-            await send_json(send, {"machines": listed, "nextToken": None})
+            await send_json(send, {"machines": rows, "nextToken": None})
             return
         document = orjson.loads(body)
         if scope["path"] == "/advise":
             self.advice_calls += 1
-            good = [
+            approved = [
                 [name, f"ticket-{document['step']}-{name}"]
                 for name in document["workers"]
                 if self.advised_executors is None or name in self.advised_executors
             ]
-            await send_json(send, {"good": good})
+            await send_json(send, {"good": approved})
             return
         if scope["path"] == "/machine-move":
             await anyio.sleep(self.move_seconds)
@@ -94,20 +94,20 @@
             if machine.pool != document["pool"]:
                 machine.pool = document["pool"]
                 if self.on_move:
-                    self._tasks.start_soon(self.on_move, machine)
+                    self._task_group.start_soon(self.on_move, machine)
             await send_json(send, {})
             return
-        await self._upkeep(scope, document, send)
+        await self._begin_upkeep(scope, document, send)
 
-    async def _upkeep(self, scope: Scope, document: dict[str, Any], send: Send) -> None:
+    async def _begin_upkeep(self, scope: Scope, document: dict[str, Any], send: Send) -> None:
         await anyio.sleep(self.upkeep_answer_seconds)
         headers = dict(scope["headers"])
         token = int(headers[b"x-fence-token"])
         machine = self.machines[document["machine"]]
-        if token < self._tokens.get(machine.name, 0):
+        if token < self._fencing_tokens.get(machine.name, 0):
             await send_json(send, {"reason": "fence"}, 409)
             return
-        self._tokens[machine.name] = token
+        self._fencing_tokens[machine.name] = token
         if machine.state == "up" and not machine.upkeeps:
             machine.upkeeps += 1
             machine.state = "upkeep"
@@ -115,11 +115,11 @@
             self.max_away = max(self.max_away, away)
             if self.on_upkeep:
                 await self.on_upkeep(machine)
-            self._tasks.start_soon(self._finish, machine)
+            self._task_group.start_soon(self._finish_upkeep, machine)
         await send_json(send, {})
 
-    async def _finish(self, machine: StandInMachine) -> None:
-        await anyio.sleep(UPKEEP_SECONDS)
+    async def _finish_upkeep(self, machine: StandInMachine) -> None:
+        await anyio.sleep(UPKEEP_DURATION)
         machine.state = "up"
         if self.on_upkeep:
             await self.on_upkeep(machine)
--- a/vanillawell/standins/scheduler/store.py
+++ b/vanillawell/standins/scheduler/store.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform's key-value store, with the faults that clients have to live with."""
+"""Stand-in for the platform's key-value store, with the faults that clients must tolerate."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 
     from vanillawell.transport.asgi import Receive, Scope, Send
 
-LARGEST_BODY = 4_000_000
-"""Bytes of a request that are read."""
+MAX_BODY_BYTES = 4_000_000
+"""Bytes of a request body that are read at most."""
 
-PAGE = 500
+PAGE_SIZE = 500
 """Items in one page of a listing."""
 
-LATE = 1.0
-"""Seconds after which a write is carried out whose answer is lost and that comes late."""
+LATE_WRITE_DELAY = 1.0
+"""Seconds after which a late write is carried out, without an answer."""
 
 
 @dataclass(slots=True)
 class Item:
-    """One stored value."""
+    """One stored value, with its revisions and the lease that it is attached to."""
 
     value: str
     revision: int
@@ -41,35 +41,36 @@
 
 @dataclass(slots=True)
 class Faults:
-    """What goes wrong now."""
+    """Faults that are currently injected."""
 
     down: bool = False
-    """Every call stays without an answer and has no effect."""
+    """No call is answered or has an effect."""
 
     refuse: bool = False
-    """Every call is answered 503 and has no effect."""
+    """Every call is answered with 503 and has no effect."""
 
     delay: float = 0.0
-    """Seconds by which every answer is late."""
+    """Seconds by which every call is delayed."""
 
     withhold_changes: bool = False
-    """Waiting calls hear of no change."""
+    """Watch calls return no changes."""
 
     lose_answers: int = 0
-    """So many of the next writes take effect and get no answer."""
+    """Number of upcoming writes that take effect but are not answered."""
 
     late_writes: int = 0
-    """So many of the next writes get no answer and take effect later, if they still can."""
+    """Number of upcoming writes that are not answered and are only carried out after
+    `LATE_WRITE_DELAY`, when their conditions may no longer hold."""
 
     lose_renewal_answers: int = 0
-    """So many of the next renewals of a lease take effect and get no answer."""
+    """Number of upcoming lease renewals that take effect but are not answered."""
 
     write_filter: Callable[[str], bool] = field(default=lambda _body: True)
-    """Which writes lose their answers, by their body."""
+    """Selects by their body the writes that `lose_answers` and `late_writes` apply to."""
 
 
 class StandInStore:
-    """An ASGI application that keeps everything in memory."""
+    """ASGI application that holds keys, leases and the history of changes in memory."""
 
     def __init__(self) -> None:
         self.items: dict[str, Item] = {}
@@ -77,14 +78,14 @@
         self.calls = 0
         self._revision = 1
         self._history: list[dict[str, Any]] = []
-        self._kept_from = 0
+        self._history_start = 0
         self._leases: dict[int, tuple[float, float]] = {}
-        self._numbers = itertools.count(101)
+        self._lease_ids = itertools.count(101)
         self._changed = anyio.Event()
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Answer one call."""
-        body = await read_body(receive, LARGEST_BODY)
+        body = await read_body(receive, MAX_BODY_BYTES)
         self.calls += 1
         if self.faults.down:
             await anyio.sleep_forever()
@@ -92,7 +93,7 @@
             await send_bytes(send, 503, b"{}")
             return
         await anyio.sleep(self.faults.delay)
-        self._expire()
+        self._expire_leases()
         path = scope["path"]
         query = {key: values[0] for key, values in parse_qs(scope["query_string"].decode()).items()}
         if scope["method"] == "GET":
@@ -106,29 +107,29 @@
             item = self.items.get(query["key"])
             if item is None:
                 return 404, {"storeRevision": self._revision}
-            return 200, {**self._show(query["key"]), "storeRevision": self._revision}
+            return 200, {**self._key_document(query["key"]), "storeRevision": self._revision}
         if path == "/kv-range":
             keys = sorted(key for key in self.items if key.startswith(query["prefix"]))
             after = query.get("after", "")
             keys = [key for key in keys if key > after]
-            items = [self._show(key) for key in keys[:PAGE]]
-            more = len(keys) > PAGE
-            return 200, {"items": items, "hasMore": more, "storeRevision": self._revision}
+            items = [self._key_document(key) for key in keys[:PAGE_SIZE]]
+            has_more = len(keys) > PAGE_SIZE
+            return 200, {"items": items, "hasMore": has_more, "storeRevision": self._revision}
         return await self._watch(query)
 
     async def _watch(self, query: dict[str, str]) -> tuple[int, dict[str, Any]]:
         after, prefix = int(query["after"]), query["prefix"]
         with anyio.move_on_after(int(query["waitMs"]) / 1000):
-            while after >= self._kept_from and not self._events(prefix, after):
+            while after >= self._history_start and not self._events(prefix, after):
                 await self._changed.wait()
-        # The wait may end in the moment of a change, so look once more: unless it plays deaf, an
-        # answer holds all that happened up to the revision that it names.
-        if after < self._kept_from:
+        # The wait may time out at the moment of a change, so collect the events again: unless
+        # changes are withheld, an answer contains every change up to the revision that it names.
+        if after < self._history_start:
             return 410, {}
         return 200, {"events": self._events(prefix, after), "storeRevision": self._revision}
 
     def _events(self, prefix: str, after: int) -> list[dict[str, Any]]:
-        """Return what a waiting call is told of the changes after a revision."""
+        """Return the changes after a revision that a watch call reports."""
         if self.faults.withhold_changes:
             return []
         return [
@@ -139,14 +140,14 @@
 
     async def _write(self, path: str, body: bytes) -> tuple[int, dict[str, Any]]:
         faults = self.faults
-        matching = faults.write_filter(body.decode())
-        if matching and faults.late_writes and path == "/kv-txn":
+        matches = faults.write_filter(body.decode())
+        if matches and faults.late_writes and path == "/kv-txn":
             faults.late_writes -= 1
-            await anyio.sleep(LATE)
-            self._carry_out(path, body)
+            await anyio.sleep(LATE_WRITE_DELAY)
+            self._apply(path, body)
             await anyio.sleep_forever()
-        result = self._carry_out(path, body)
-        if matching and faults.lose_answers and path == "/kv-txn":
+        result = self._apply(path, body)
+        if matches and faults.lose_answers and path == "/kv-txn":
             faults.lose_answers -= 1
             await anyio.sleep_forever()
         if faults.lose_renewal_answers and path.startswith("/kv-keep/"):
@@ -154,12 +155,12 @@
             await anyio.sleep_forever()
         return result
 
-    def _carry_out(self, path: str, body: bytes) -> tuple[int, dict[str, Any]]:
+    def _apply(self, path: str, body: bytes) -> tuple[int, dict[str, Any]]:
         document = orjson.loads(body) if body else {}
         if path == "/kv-txn":
             return self._transact(document)
         if path == "/kv-lease":
-            lease = next(self._numbers)
+            lease = next(self._lease_ids)
             ttl = document["ttlMs"] / 1000
             self._leases[lease] = (ttl, time.monotonic() + ttl)
             return 200, {"lease": lease, "ttlMs": document["ttlMs"]}
@@ -170,15 +171,15 @@
             ttl = self._leases[lease][0]
             self._leases[lease] = (ttl, time.monotonic() + ttl)
             return 200, {"ttlMs": round(ttl * 1000)}
-        self._end_lease(lease)
+        self._revoke_lease(lease)
         return 200, {}
 
     def _transact(self, document: dict[str, Any]) -> tuple[int, dict[str, Any]]:
-        expect = document.get("expect", [])
-        for row in expect:
-            item = self.items.get(row["key"])
-            if (item.revision if item else 0) != row["revision"]:
-                return 412, {"items": [self._show(row["key"]) for row in expect]}
+        conditions = document.get("expect", [])
+        for condition in conditions:
+            item = self.items.get(condition["key"])
+            if (item.revision if item else 0) != condition["revision"]:
+                return 412, {"items": [self._key_document(row["key"]) for row in conditions]}
         puts = document.get("puts", [])
         if any(put.get("lease") and put["lease"] not in self._leases for put in puts):
             return 404, {}
@@ -187,46 +188,46 @@
             self.put(put["key"], put["value"], put.get("lease", 0), self._revision)
         for key in document.get("delete", []):
             self._delete(key)
-        self._announce()
+        self._notify_watchers()
         return 200, {"revision": self._revision}
 
     def put(self, key: str, value: str, lease: int = 0, revision: int | None = None) -> None:
-        """Write one value, base64 text, as the operator or an executor would."""
+        """Write one base64-encoded value, as an operator or an executor would."""
         if revision is None:
             self._revision += 1
             revision = self._revision
-        before = self.items.get(key)
-        created = before.created if before else revision
+        previous = self.items.get(key)
+        created = previous.created if previous else revision
         self.items[key] = Item(value, revision, created, lease)
-        self._history.append(self._show(key))
-        self._announce()
+        self._history.append(self._key_document(key))
+        self._notify_watchers()
 
     def put_document(self, key: str, document: object) -> None:
-        """Write a JSON document."""
+        """Write a JSON document, encoded in base64."""
         self.put(key, base64.b64encode(orjson.dumps(document)).decode())
 
     def delete(self, key: str) -> None:
-        """Remove a key."""
+        """Delete a key."""
         self._revision += 1
         self._delete(key)
-        self._announce()
+        self._notify_watchers()
 
     def _delete(self, key: str) -> None:
         if self.items.pop(key, None) is not None:
             self._history.append({"key": key, "revision": self._revision, "tombstone": True})
 
     def compact_history(self) -> None:
-        """Drop all history, so that whoever follows has to list again."""
+        """Drop the whole history of changes, so that every watcher has to list its keys again."""
         self._history.clear()
-        self._kept_from = self._revision + 1
+        self._history_start = self._revision + 1
         self._revision += 1
-        self._announce()
+        self._notify_watchers()
 
-    def _announce(self) -> None:
+    def _notify_watchers(self) -> None:
         self._changed.set()
         self._changed = anyio.Event()
 
-    def _show(self, key: str) -> dict[str, Any]:
+    def _key_document(self, key: str) -> dict[str, Any]:
         item = self.items.get(key)
         if item is None:
             return {"key": key, "revision": 0}
@@ -238,20 +239,20 @@
             "lease": item.lease,
         }
 
-    def _expire(self) -> None:
+    def _expire_leases(self) -> None:
         now = time.monotonic()
-        for lease in [lease for lease, (_, end) in self._leases.items() if end < now]:
-            self._end_lease(lease)
+        for lease in [lease for lease, (_, expires_at) in self._leases.items() if expires_at < now]:
+            self._revoke_lease(lease)
 
-    def _end_lease(self, lease: int) -> None:
+    def _revoke_lease(self, lease: int) -> None:
         del self._leases[lease]
         self._revision += 1
         for key in [key for key, item in self.items.items() if item.lease == lease]:
             self._delete(key)
-        self._announce()
+        self._notify_watchers()
 
     async def tick(self) -> None:
-        """End leases in time even if nobody calls."""
+        """Expire leases on time even while no calls arrive."""
         while True:
             await anyio.sleep(0.05)
-            self._expire()
+            self._expire_leases()
