--- a/vanillawell/standins/measure/__init__.py
+++ b/vanillawell/standins/measure/__init__.py
@@ -1,1 +1,1 @@
-"""Measure the product against plain baselines, with seeded load and faults by name."""
+"""Measurements of the product against simple baselines, with seeded load and named faults."""
--- a/vanillawell/standins/measure/__main__.py
+++ b/vanillawell/standins/measure/__main__.py
@@ -20,7 +20,7 @@
 
 
 class Measurement(StrEnum):
-    """What can be measured."""
+    """Names of the measurements."""
 
     OVERHEAD = "overhead"
     SHARES = "shares"
@@ -51,7 +51,7 @@
 
 
 def run(name: Measurement, file: Path, seed: int, fault: str) -> dict[str, Any]:
-    """Return a measurement's result as plain data."""
+    """Run a measurement and return its result as JSON-compatible data."""
     if name is Measurement.SLOPES:
         fits = slopes.measure_all()
         return {
@@ -61,7 +61,7 @@
     deployment = load_model(file, Deployment)
     if name is Measurement.PEAK:
         return requests.measure_peak(deployment, seed, fault)
-    measures = {
+    functions = {
         Measurement.OVERHEAD: requests.measure_overhead,
         Measurement.SHARES: requests.measure_shares,
         Measurement.ONE_ZONE: requests.measure_one_zone,
@@ -72,7 +72,7 @@
         Measurement.LENDING: operations.measure_lending,
         Measurement.KEYED: requests.measure_keyed,
     }
-    return measures[name](deployment, seed)
+    return functions[name](deployment, seed)
 
 
 if __name__ == "__main__":
--- a/vanillawell/standins/measure/fits.py
+++ b/vanillawell/standins/measure/fits.py
@@ -1,4 +1,4 @@
-"""Fit a straight line through measured points and say how far they lie from it."""
+"""Fit a straight line to measured points and report their largest deviation from it."""
 
 from __future__ import annotations
 
@@ -12,28 +12,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Fit:
-    """A line through measured points."""
+    """A straight line fitted to measured points."""
 
     unit: str
     slope: float
-    """Units for each further item of the size that was varied."""
+    """Increase of the value, in units, for each additional item of the size that was varied."""
 
     base: float
-    """Units at size zero."""
+    """Value of the line at size zero, in units."""
 
     residual: float
-    """Largest distance of a point from the line, as part of the largest value."""
+    """Largest deviation of a point from the line, as a fraction of the largest value."""
 
     points: dict[int, float]
 
     def at(self, size: int) -> float:
-        """Return the line's value at a size."""
+        """Return the value of the line at a size."""
         return self.base + self.slope * size
 
 
-def fit(points: Mapping[int, float], unit: str) -> Fit:
-    """Fit a line through values by size."""
+def fit_line(points: Mapping[int, float], unit: str) -> Fit:
+    """Fit a line to measured values by size, by least squares."""
     line = linear_regression(list(points), list(points.values()))
-    worst = max(abs(line.intercept + line.slope * x - y) for x, y in points.items())
-    largest = max(points.values()) or 1.0
-    return Fit(unit, line.slope, line.intercept, worst / largest, dict(points))
+    max_deviation = max(abs(line.intercept + line.slope * x - y) for x, y in points.items())
+    max_value = max(points.values()) or 1.0
+    return Fit(unit, line.slope, line.intercept, max_deviation / max_value, dict(points))
--- a/vanillawell/standins/measure/fleets.py
+++ b/vanillawell/standins/measure/fleets.py
@@ -1,4 +1,4 @@
-"""Run emulated fleets for measurements and sum up what callers saw."""
+"""Run emulated fleets for measurements and summarise the results of their callers."""
 
 from __future__ import annotations
 
@@ -15,53 +15,53 @@
 from vanillawell.standins.load import LoadGenerator, LoadResult, Stream, Target
 
 BASELINE = {"routing": "least-loaded", "queue": "fifo", "limits": "static", "retries": "unbudgeted"}
-"""All decisions replaced by plain ones."""
+"""Experiment settings that replace every decision of the product by a simple algorithm."""
 
 
 @contextmanager
-def fleet_of(deployment: Deployment, **changes: Any) -> Iterator[Fleet]:
-    """Run a fleet in a folder of its own."""
+def running_fleet(deployment: Deployment, **changes: Any) -> Iterator[Fleet]:
+    """Run a fleet in a temporary directory, with some settings of the deployment changed."""
     with tempfile.TemporaryDirectory(prefix="vanillawell-") as folder:
         document = deployment.model_dump() | changes
         with Fleet(Deployment.model_validate(document), Path(folder)) as fleet:
             yield fleet
 
 
-def targets_of(fleet: Fleet) -> list[Target]:
-    """Return all entries as targets."""
+def entry_targets(fleet: Fleet) -> list[Target]:
+    """Return the caller ports of all entries as targets of a load generator."""
     return [Target(e.host, e.ports.caller, e.zone) for e in fleet.entries.values()]
 
 
-def load(fleet: Fleet, streams: Sequence[Stream], seconds: float, seed: int) -> LoadResult:
-    """Send streams to a fleet."""
-    generator = LoadGenerator(targets_of(fleet), seed, fleet.deployment.client_delay_ms / 1000)
+def run_load(fleet: Fleet, streams: Sequence[Stream], seconds: float, seed: int) -> LoadResult:
+    """Send streams of requests to a fleet."""
+    generator = LoadGenerator(entry_targets(fleet), seed, fleet.deployment.client_delay_ms / 1000)
     return anyio.run(generator.run, streams, seconds, backend_options={"use_uvloop": True})
 
 
-def load_window(
+def run_load_with_slot_usage(
     fleet: Fleet, streams: Sequence[Stream], seconds: float, seed: int
 ) -> tuple[LoadResult, dict[str, float]]:
-    """Send streams, and read the slots used when sending ends, before queues run dry."""
-    generator = LoadGenerator(targets_of(fleet), seed, fleet.deployment.client_delay_ms / 1000)
-    used: dict[str, float] = {}
+    """Send streams of requests; read the slot usage when sending ends, before the queues drain."""
+    generator = LoadGenerator(entry_targets(fleet), seed, fleet.deployment.client_delay_ms / 1000)
+    slot_seconds: dict[str, float] = {}
     results: list[LoadResult] = []
 
     async def send() -> None:
         results.append(await generator.run(streams, seconds))
 
-    async def both() -> None:
+    async def run_both() -> None:
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(send)
             await anyio.sleep(seconds)
             counts = await anyio.to_thread.run_sync(fleet.backend_counts)
-            used.update(counts["slot_seconds"])
+            slot_seconds.update(counts["slot_seconds"])
 
-    anyio.run(both, backend_options={"use_uvloop": True})
-    return results[0], used
+    anyio.run(run_both, backend_options={"use_uvloop": True})
+    return results[0], slot_seconds
 
 
-def summary(result: LoadResult) -> dict[str, Any]:
-    """Return what callers saw, as plain data."""
+def summarise(result: LoadResult) -> dict[str, Any]:
+    """Return the results of all callers as JSON-compatible data."""
     total = result.total()
     return {
         "sent": total.sent,
--- a/vanillawell/standins/measure/requests.py
+++ b/vanillawell/standins/measure/requests.py
@@ -1,4 +1,4 @@
-"""Measure requests under seeded load, each against a plain baseline in the same run."""
+"""Measure the handling of requests under seeded load, mostly compared with a simple baseline."""
 
 from __future__ import annotations
 
@@ -11,23 +11,29 @@
 from vanillawell.standins.deployment import Deployment
 from vanillawell.standins.fleet import Fleet
 from vanillawell.standins.load import LoadGenerator, LoadResult, Stream, Target, peaks, steady
-from vanillawell.standins.measure.fleets import BASELINE, fleet_of, load, load_window, summary
+from vanillawell.standins.measure.fleets import (
+    BASELINE,
+    run_load,
+    run_load_with_slot_usage,
+    running_fleet,
+    summarise,
+)
 from vanillawell.standins.processes import wait_until
 from vanillawell.state.slot_allocation import fair_slots
 
 
 def measure_shares(deployment: Deployment, seed: int) -> dict[str, Any]:
-    """Measure nearness to share while the organisations ask for three times what one pool holds.
+    """Measure how close slot usage comes to the shares while demand is thrice a pool's capacity.
 
-    What is due to an organisation is its part by weighted max-min fairness on what it offers: an
-    organisation that offers less than its share is due just that.
+    The slots due to an organisation follow from weighted max-min fairness on its demand: an
+    organisation that demands less than its share is due only what it demands.
     """
     service = next(iter(deployment.services))
     organisations = {
         name: organisation.model_copy(update={"limit": 500})
         for name, organisation in deployment.organisations.items()
     }
-    weights = sum(organisation.weight for organisation in organisations.values())
+    total_weight = sum(organisation.weight for organisation in organisations.values())
     slots = deployment.executors_per_service * deployment.slots
     rate = 3 * slots / 0.1
 
@@ -40,26 +46,28 @@
             "experiment": experiment,
             "fleet_settings": {"queue_length": 40},
         }
-        with fleet_of(deployment, **changes) as fleet:
+        with running_fleet(deployment, **changes) as fleet:
             streams = [
-                Stream(name, service, steady(rate * organisation.weight / weights), timeout=3.0)
+                Stream(
+                    name, service, steady(rate * organisation.weight / total_weight), timeout=3.0
+                )
                 for name, organisation in organisations.items()
             ]
-            load(fleet, streams, 3.0, seed)
+            run_load(fleet, streams, 3.0, seed)
             fleet.reset_backend()
-            result, used = load_window(fleet, streams, 8.0, seed + 1)
+            result, used = run_load_with_slot_usage(fleet, streams, 8.0, seed + 1)
         total = sum(used.values())
-        offered = {
-            name: rate * organisation.weight / weights * 0.1
+        demands = {
+            name: rate * organisation.weight / total_weight * 0.1
             for name, organisation in organisations.items()
         }
-        due = fair_slots(
+        fair_allocation = fair_slots(
             slots,
-            offered,
+            demands,
             {name: organisation.share for name, organisation in organisations.items()},
         )
         distances = {
-            name: abs(used.get(name, 0.0) / total / (due[name] / slots) - 1)
+            name: abs(used.get(name, 0.0) / total / (fair_allocation[name] / slots) - 1)
             for name in organisations
         }
         return {
@@ -67,40 +75,40 @@
             "mean_distance": round(statistics.fmean(distances.values()), 3),
             "by_organisation": {
                 name: {
-                    "part_due": round(due[name] / slots, 3),
+                    "part_due": round(fair_allocation[name] / slots, 3),
                     "part_used": round(used.get(name, 0.0) / total, 3),
                     "refused": dict(result.tallies[name].refused),
                 }
                 for name in organisations
             },
             "slots_used": round(total / 8.0 / slots, 3),
-            **summary(result),
+            **summarise(result),
         }
 
     return {"product": run({}), "baseline": run(BASELINE)}
 
 
 def measure_urgent(deployment: Deployment, seed: int) -> dict[str, Any]:
-    """Measure how soon urgent requests are answered while deferrable ones flood the pool."""
+    """Measure the latency of urgent requests while deferrable requests overload the pool."""
     service = next(iter(deployment.services))
     slots = deployment.executors_per_service * deployment.slots
     changes = {
         "organisations": {"urgent": {"limit": 100}, "nightly": {"limit": 500}},
         "services": {service: {"mean_seconds": 0.1}},
     }
-    with fleet_of(deployment, **changes) as fleet:
+    with running_fleet(deployment, **changes) as fleet:
         streams = [
             Stream("nightly", service, steady(3 * slots / 0.1), timeout=3.0, urgency=6),
             Stream("urgent", service, steady(0.2 * slots / 0.1), timeout=3.0),
         ]
-        load(fleet, streams, 2.0, seed)
-        result = load(fleet, streams, 8.0, seed + 1)
+        run_load(fleet, streams, 2.0, seed)
+        result = run_load(fleet, streams, 8.0, seed + 1)
     tallies = result.tallies.items()
-    return {name: summary(LoadResult(result.seconds, {name: tally})) for name, tally in tallies}
+    return {name: summarise(LoadResult(result.seconds, {name: tally})) for name, tally in tallies}
 
 
 def measure_one_zone(deployment: Deployment, seed: int) -> dict[str, Any]:
-    """Measure how much of an organisation's limit is used when all its demand is in one zone."""
+    """Measure how much of an organisation's limit is used if all its demand is in one zone."""
     service = next(iter(deployment.services))
 
     def run(experiment: dict[str, str]) -> dict[str, Any]:
@@ -109,55 +117,60 @@
             "services": {service: {"mean_seconds": 0.1}},
             "experiment": experiment,
         }
-        with fleet_of(deployment, **changes) as fleet:
+        with running_fleet(deployment, **changes) as fleet:
             streams = [Stream("solo", service, steady(600.0), timeout=1.0, zone=1)]
-            load(fleet, streams, 3.0, seed)
+            run_load(fleet, streams, 3.0, seed)
             fleet.reset_backend()
-            result = load(fleet, streams, 6.0, seed + 1)
+            result = run_load(fleet, streams, 6.0, seed + 1)
             counts = fleet.backend_counts()
         used = sum(counts["slot_seconds"].values()) / result.seconds
-        most = counts["most_running"].get("solo", 0)
-        return {"limit": 27, "mean_used": round(used, 1), "most_running": most, **summary(result)}
+        max_running = counts["most_running"].get("solo", 0)
+        return {
+            "limit": 27,
+            "mean_used": round(used, 1),
+            "most_running": max_running,
+            **summarise(result),
+        }
 
     return {"product": run({}), "baseline": run(BASELINE)}
 
 
 def measure_peak(deployment: Deployment, seed: int, fault: str = "") -> dict[str, Any]:
-    """Measure goodput and latency through peaks of five times the mean, with a fault by name."""
+    """Measure goodput and latency at load peaks of five times the mean, with a named fault."""
     services = list(deployment.services)
-    weights = sum(organisation.weight for organisation in deployment.organisations.values())
+    total_weight = sum(organisation.weight for organisation in deployment.organisations.values())
 
     def run(experiment: dict[str, str]) -> dict[str, Any]:
-        with fleet_of(deployment, experiment=experiment) as fleet:
-            play_fault(fleet, fault)
+        with running_fleet(deployment, experiment=experiment) as fleet:
+            inject_fault(fleet, fault)
             streams = [
                 Stream(
                     name,
                     service,
-                    peaks(60 * organisation.weight / weights, 10.0, 2.0 * number, 2.0),
+                    peaks(60 * organisation.weight / total_weight, 10.0, 2.0 * number, 2.0),
                     method="POST" if number % 2 else "GET",
                     timeout=3.0,
                 )
                 for number, service in enumerate(services)
                 for name, organisation in deployment.organisations.items()
             ]
-            result = load(fleet, streams, 20.0, seed)
+            result = run_load(fleet, streams, 20.0, seed)
             counts = fleet.backend_counts()
         return {
             "refused_by_executors": counts["refused"],
             "runs": counts["runs"],
-            **summary(result),
+            **summarise(result),
         }
 
     return {"fault": fault or "none", "product": run({}), "baseline": run(BASELINE)}
 
 
-def play_fault(fleet: Fleet, name: str) -> None:
-    """Put a fault in force by its name."""
-    first = [f"{service}-1" for service in fleet.deployment.services]
+def inject_fault(fleet: Fleet, name: str) -> None:
+    """Inject the fault with this name into a fleet; an empty name stands for no fault."""
+    first_executors = [f"{service}-1" for service in fleet.deployment.services]
     match name:
         case "fail-fast":
-            fleet.behave(first, fail_fast=True)
+            fleet.behave(first_executors, fail_fast=True)
         case "store-down":
             fleet.store_faults(down=True)
         case "store-slow":
@@ -165,27 +178,30 @@
         case "":
             return
         case _:
-            raise ValueError(f"no fault is named {name!r}")
+            raise ValueError(f"unknown fault {name!r}")
 
 
 def measure_keyed(deployment: Deployment, seed: int) -> dict[str, Any]:
-    """Measure what at-most-once costs: stamps with and without a key, by the store's state."""
+    """Measure the cost of at-most-once execution, by the state of the store.
+
+    Requests are sent with and without an Idempotency-Key.
+    """
     service = next(iter(deployment.services))
     changes = {
         "organisations": {"solo": {"limit": 500}},
         "services": {service: {"mean_seconds": 0.02}},
     }
     results: dict[str, Any] = {}
-    with fleet_of(deployment, **changes) as fleet:
+    with running_fleet(deployment, **changes) as fleet:
 
         def run(keyed: bool, seconds: float = 8.0) -> dict[str, Any]:
             stream = Stream("solo", service, steady(300.0), "POST", 3.0, keyed=keyed)
             before = fleet.store_counts()["calls"]
-            result = load(fleet, [stream], seconds, seed)
+            result = run_load(fleet, [stream], seconds, seed)
             after = fleet.store_counts()["calls"]
             calls = {name: after[name] - before.get(name, 0) for name in after}
             return {
-                **summary(result),
+                **summarise(result),
                 "transactions_per_second": round(calls.get("kv/txn", 0) / result.seconds, 1),
             }
 
@@ -201,7 +217,7 @@
 
 
 def measure_overhead(deployment: Deployment, seed: int) -> dict[str, Any]:
-    """Measure what one entry adds to a request, against the executor alone."""
+    """Measure what one entry adds to a request, compared with direct calls to an executor."""
     changes = {
         "zones": 1,
         "entries_per_zone": 1,
@@ -210,13 +226,13 @@
         "services": {"check": {"mean_seconds": 0.001}},
         "organisations": {"solo": {"limit": 1000}},
     }
-    with fleet_of(deployment, **changes) as fleet:
+    with running_fleet(deployment, **changes) as fleet:
         entry = fleet.entries["entry-1-1"]
         idle_kilobytes = entry.process.resident_kilobytes()
-        warm = [Stream("solo", "check", steady(200.0))]
-        load(fleet, warm, 2.0, seed)
+        warm_up = [Stream("solo", "check", steady(200.0))]
+        run_load(fleet, warm_up, 2.0, seed)
         before = entry.process.cpu_seconds()
-        steady_load = load(fleet, [Stream("solo", "check", steady(300.0))], 8.0, seed)
+        steady_load = run_load(fleet, [Stream("solo", "check", steady(300.0))], 8.0, seed)
         cpu = entry.process.cpu_seconds() - before
         generator = LoadGenerator([fleet.executor_target("check-1")], seed)
         direct = anyio.run(
@@ -225,25 +241,25 @@
             8.0,
             backend_options={"use_uvloop": True},
         )
-        most = closed_loop(fleet, seed)
+        max_rates = closed_loop_rates(fleet, seed)
         entry.process.kill()
-        started = time.monotonic()
+        restarted_at = time.monotonic()
         entry.process.start()
-        wait_until(lambda: entry.ready, "it is ready again")
-        start_seconds = time.monotonic() - started
+        wait_until(lambda: entry.ready, "the entry is ready again")
+        start_seconds = time.monotonic() - restarted_at
     answered = steady_load.total().answered
     return {
-        "through_entry": summary(steady_load),
-        "direct": summary(direct),
+        "through_entry": summarise(steady_load),
+        "direct": summarise(direct),
         "cpu_microseconds_per_request": round(cpu / answered * 1e6),
-        "most_requests_per_second": most,
+        "most_requests_per_second": max_rates,
         "idle_kilobytes": idle_kilobytes,
         "start_seconds": round(start_seconds, 2),
     }
 
 
-def closed_loop(fleet: Fleet, seed: int) -> dict[str, float]:
-    """Return requests a second of an entry and of an executor, by 24 callers without a pause."""
+def closed_loop_rates(fleet: Fleet, seed: int) -> dict[str, float]:
+    """Return requests per second of an entry and an executor, by 24 callers in a closed loop."""
 
     async def drive(target: Target) -> float:
         generator = LoadGenerator([target], seed)
