--- a/vanillawell/standins/measure/slopes.py
+++ b/vanillawell/standins/measure/slopes.py
@@ -15,8 +15,8 @@
 from vanillawell.protocol.documents import Configuration, Presence, next_limit_changes
 from vanillawell.protocol.peer_messages import (
     Beat,
+    DemandReport,
     NameTable,
-    SourceReport,
     Versions,
     decode,
     encode,
@@ -105,7 +105,7 @@
 def build_heartbeat(rows: int) -> bytes:
     """Build an encoded heartbeat with a number of rows."""
     sender = Presence("entry-1-1", "0" * 12, "zone-1", "127.0.0.1", 7000, "127.0.0.1", 7001)
-    report = SourceReport("entry-1-1", 1, 1_700_000_000_000, build_rows(rows))
+    report = DemandReport("entry-1-1", 1, 1_700_000_000_000, build_rows(rows))
     return encode(Beat(sender, Versions(1000, 2000), 0.5, (report,)), NAME_TABLE)
 
 
