--- a/vanillawell/standins/measure/operations.py
+++ b/vanillawell/standins/measure/operations.py
@@ -37,7 +37,7 @@
 
 
 def measure_control(deployment: Deployment, seed: int) -> dict[str, Any]:
-    """Measure the cost of control at rest, under load peaks and while the store is down."""
+    """Measure control traffic and CPU time at rest, at load peaks and while the store is down."""
     services = list(deployment.services)
     total_weight = sum(organisation.weight for organisation in deployment.organisations.values())
     streams = [
@@ -145,7 +145,7 @@
 
 
 def measure_lending(deployment: Deployment, seed: int) -> dict[str, Any]:
-    """Measure load peaks that exceed the slots of each pool, by each lending rule and without."""
+    """Measure load peaks above the capacity of each pool, with each lending rule and without."""
     spares = 6
     mean_rate = 0.3 * deployment.executors_per_service * deployment.slots / 0.3
     total_weight = sum(organisation.weight for organisation in deployment.organisations.values())
--- a/vanillawell/standins/measure/requests.py
+++ b/vanillawell/standins/measure/requests.py
@@ -1,4 +1,4 @@
-"""Measure the handling of requests under seeded load, mostly compared with a simple baseline."""
+"""Measure requests under seeded load, each with a baseline from the same run for comparison."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def measure_shares(deployment: Deployment, seed: int) -> dict[str, Any]:
-    """Measure how close slot usage comes to the shares while demand is thrice a pool's capacity.
+    """Measure how close slot usage comes to the shares at a demand of three times the capacity.
 
     The slots due to an organisation follow from weighted max-min fairness on its demand: an
     organisation that demands less than its share is due only what it demands.
