--- a/vanillawell/tests/advice_requester_tests.py
+++ b/vanillawell/tests/advice_requester_tests.py
@@ -124,7 +124,7 @@
     await built.members[0].call("POST", HINTED_PREFIX + built.new_id(), long_running)
     await until(lambda: bool(built.hosts["i-0"].executor.running))
     await built.add_executor("i-1")
-    await until(lambda: built.hosts["i-1"].executor.holds > 0)
+    await until(lambda: built.hosts["i-1"].executor.hold_calls > 0)
     await anyio.sleep(RULE.validity)
 
 
@@ -145,7 +145,7 @@
 ) -> None:
     """Another executor has free capacity but may not run the task. If the task were stopped early,
     it would be down for seconds in which it could still run."""
-    built.machines.allowed = {"i-0"}
+    built.machines.advised_executors = {"i-0"}
     await _start_long_running(built)
     built.drain("i-0", DEPARTURE_NOTICE)
     await anyio.sleep(MOVE_TIMEOUT)
--- a/vanillawell/tests/draining_tests.py
+++ b/vanillawell/tests/draining_tests.py
@@ -36,7 +36,7 @@
 
 async def _wait_until_contacted(built: Cluster, name: str) -> None:
     """Wait until the owner has contacted an executor, so that tasks can be placed there."""
-    await until(lambda: built.hosts[name].executor.holds > 0)
+    await until(lambda: built.hosts[name].executor.hold_calls > 0)
 
 
 @with_cluster(executors=1)
@@ -106,7 +106,7 @@
     built.drain("i-0", 1.5)
     await until(lambda: bool(built.hosts["i-1"].executor.running), 1.5)
     built.leave("i-0")
-    assert int(built.audit.resumed[f"{job_id}.0.0.0"]) > 0
+    assert int(built.audit.resumed_from[f"{job_id}.0.0.0"]) > 0
     await until_state(member, job_id, "completed", 4.0)
 
 
--- a/vanillawell/tests/executor_restart_tests.py
+++ b/vanillawell/tests/executor_restart_tests.py
@@ -39,5 +39,5 @@
     built.restart("i-0")
     built.register("i-0")
     executor = built.hosts["i-0"].executor
-    await until(lambda: executor.holds > 0)
+    await until(lambda: executor.hold_calls > 0)
     assert executor._lease_end / 1000 <= executor.clock / 1000 + TASK_LEASE + CLOCK_TOLERANCE
--- a/vanillawell/tests/pool_rebalancer_tests.py
+++ b/vanillawell/tests/pool_rebalancer_tests.py
@@ -32,7 +32,7 @@
     await member.call("POST", PREFIX + first, job())
     await until_state(member, first, "completed")
     for host in list(built.hosts.values()):
-        host.executor.faults.silent = True
+        host.executor.faults.unresponsive = True
         built.store.delete(f"servers/{host.executor.name}")
         del built.machines.machines[host.machine]
     await until(lambda: built.machines.machines["spare-1"].pool == POOL, 8)
@@ -51,7 +51,7 @@
     machines = built.machines.machines
 
     async def moved(machine: StandInMachine) -> None:
-        built.hosts[machine.executor].executor.faults.silent = True
+        built.hosts[machine.executor].executor.faults.unresponsive = True
 
     built.machines.on_move = moved
     configure_standby(built)
@@ -73,12 +73,12 @@
     built.machines.machines["spare-1"] = StandInMachine("spare-1", STANDBY, "")
     configure_standby(built)
     await anyio.sleep(0.3)
-    built.store.faults.deaf = True
+    built.store.faults.withhold_changes = True
     await member.call("POST", PREFIX + first, job(step(60), spec={"seconds": 0.8}))
     await until(lambda: any(name.startswith("moved") for name in built.hosts))
     (host,) = [host for name, host in built.hosts.items() if name.startswith("moved")]
     await until(lambda: bool(host.executor.running), 4.0)
-    built.store.faults.deaf = False
+    built.store.faults.withhold_changes = False
 
 
 @with_cluster(executors=2)
@@ -91,7 +91,7 @@
     configure_standby(built)
     await member.call("POST", PREFIX + job_id, job(step(10), spec={"seconds": 3}))
     await until(lambda: all(host.executor.running for host in built.hosts.values()))
-    built.executors[0].faults.silent = True
+    built.executors[0].faults.unresponsive = True
     await until(lambda: built.machines.machines["spare-1"].pool == POOL, 2.5)
 
 
--- a/vanillawell/tests/renewed_lease_tests.py
+++ b/vanillawell/tests/renewed_lease_tests.py
@@ -169,10 +169,10 @@
                 for _ in range(3):
                     readings.start_soon(store.get, "key")
             connections_opened = http.connections_opened
-            stand_in.faults.lose_renewals = 1
+            stand_in.faults.lose_renewal_answers = 1
             tasks.start_soon(lease.renew_until_ended)
             await anyio.sleep(TTL / RENEWALS_PER_TTL + RENEWAL_RETRY_DELAY + 0.2)
-            assert stand_in.faults.lose_renewals == 0
+            assert stand_in.faults.lose_renewal_answers == 0
             assert http.connections_opened == connections_opened + 1
             assert lease.is_held(granted + TTL + 0.1)
             tasks.cancel_scope.cancel()
--- a/vanillawell/tests/shard_claim_tests.py
+++ b/vanillawell/tests/shard_claim_tests.py
@@ -69,7 +69,7 @@
     """When the first try arrives, its retry has taken the shard and the owner has written since."""
 
     async def check(stand_in: StandInStore, store: PlatformStore) -> None:
-        stand_in.faults.lose_late = 1
+        stand_in.faults.late_writes = 1
         term = await _acquire(store)
         await term.write([Put("value/0", b"x")])
         written = stand_in.items[KEYS.term("all")].revision
@@ -88,7 +88,7 @@
     stay with an entry that does not know that it owns it."""
 
     async def check(stand_in: StandInStore, store: PlatformStore) -> None:
-        stand_in.faults.lose_late = MAX_TRIES
+        stand_in.faults.late_writes = MAX_TRIES
         candidate = Candidate(store, KEYS, "all", "entry-0")
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(candidate.watch_holder)
--- a/vanillawell/tests/term_tests.py
+++ b/vanillawell/tests/term_tests.py
@@ -240,11 +240,11 @@
             tasks.start_soon(candidate.watch_holder)
             await anyio.sleep(0.3)
             assert candidate.holder is not None
-            stand_in.faults.deaf = True
+            stand_in.faults.withhold_changes = True
             await anyio.sleep(0.5)
             stand_in.faults.down = True
             await anyio.sleep(3.5)
-            stand_in.faults.deaf = stand_in.faults.down = False
+            stand_in.faults.withhold_changes = stand_in.faults.down = False
             with anyio.fail_after(2.0):
                 await candidate.acquire()
             tasks.cancel_scope.cancel()
