--- a/vanillawell/coordination/cycle_batch.py
+++ b/vanillawell/coordination/cycle_batch.py
@@ -59,9 +59,9 @@
         planned, outbox.planned = outbox.planned, []
         ends, outbox.ends = outbox.ends, []
         deletes: list[str] = []
-        for record in list(shard.job_table.forgettable(wall)):
+        for record in list(shard.job_table.removable(wall)):
             job_id = record.job.job_id
-            shard.job_table.forget(job_id)
+            shard.job_table.remove(job_id)
             changed.pop(job_id, None)
             deletes.extend((keys.submitted_job(job_id), keys.record(job_id)))
         accepted_requests, outbox.accepted_requests = outbox.accepted_requests, {}
--- a/vanillawell/coordination/executor_driver.py
+++ b/vanillawell/coordination/executor_driver.py
@@ -205,7 +205,7 @@
             self._confirmed_end = max(self._confirmed_end, saved)
         self._link.record_answer(report.incarnation, report.clock, sent, now)
         self._record_contact()
-        self._link.shard.take_report(self._executor, report, sent, now, self._link.wall())
+        self._link.shard.apply_report(self._executor, report, sent, now, self._link.wall())
         if not self._link.first_report.is_set():
             self._link.first_report.set()
             log.info(
--- a/vanillawell/coordination/loss_detector.py
+++ b/vanillawell/coordination/loss_detector.py
@@ -11,7 +11,7 @@
 from vanillawell import clock
 from vanillawell.protocol.call_errors import NoAnswerError, NotSentError
 from vanillawell.protocol.machine_calls import MachineState
-from vanillawell.state.lost_executors import find_lost_executors, unresponsive_executors
+from vanillawell.state.lost_executors import find_lost_executors, unconfirmed_executors
 from vanillawell.state.upkeep import incarnation_id
 
 if TYPE_CHECKING:
@@ -51,7 +51,7 @@
     async def run(self) -> None:
         """Check until cancelled."""
         while True:
-            if unresponsive_executors(self._shard.ledger.executors.values(), clock.read()):
+            if unconfirmed_executors(self._shard.ledger.executors.values(), clock.read()):
                 await self._check()
                 await anyio.sleep(RECHECK_DELAY if self._missing else LIST_INTERVAL)
             else:
--- a/vanillawell/coordination/pool_runtime.py
+++ b/vanillawell/coordination/pool_runtime.py
@@ -9,7 +9,7 @@
 from vanillawell.state.queueing import FairQueue, SlotUse
 from vanillawell.state.response_times import ServiceTime
 from vanillawell.state.retries import RetryBudget
-from vanillawell.state.routing import Candidate, RoutingView, connection_bound, subset
+from vanillawell.state.routing import Candidate, RoutingView, connection_bound, executor_subset
 from vanillawell.state.slot_allocation import (
     PoolDemand,
     executor_quotas,
@@ -76,14 +76,14 @@
         self.policy = policy
         self._max_running = connection_bound(policy.connections, len(entries))
         names = tuple(executor.name for executor in policy.executors)
-        own_names = set(subset(names, entries, self._source, policy.connections))
+        own_names = set(executor_subset(names, entries, self._source, policy.connections))
         wanted = {item.name: item for item in policy.executors if item.name in own_names}
         removed = [name for name, link in self.links.items() if wanted.get(name) != link.executor]
         self.retired.extend(self.links.pop(name) for name in removed)
         for name, executor in wanted.items():
             if name not in self.links:
                 self.links[name] = self._open_link(executor, self._max_running)
-        self.health.keep(set(wanted))
+        self.health.retain_only(set(wanted))
 
     def running(self) -> int:
         """Return the number of attempts in progress in this pool."""
--- a/vanillawell/protocol/backend_calls.py
+++ b/vanillawell/protocol/backend_calls.py
@@ -94,7 +94,8 @@
     ) -> None:
         """Send a request, pass the answer to `deliver`, and return once it has arrived completely.
 
-        Raises AttemptError if nothing could be delivered.
+        `longest` is the timeout in seconds of each single read and write. Raises AttemptError if
+        nothing could be delivered.
         """
 
 
--- a/vanillawell/protocol/claim_documents.py
+++ b/vanillawell/protocol/claim_documents.py
@@ -26,7 +26,7 @@
     """Holder name of the entry incarnation that may run the request."""
 
     token: str
-    """Random value by which an entry recognises its own claim after an unacknowledged write."""
+    """Random value drawn for each claim, which identifies it after an unacknowledged write."""
 
     fingerprint: str
     """Hash of the request; the same key with another request is an error."""
--- a/vanillawell/protocol/documents.py
+++ b/vanillawell/protocol/documents.py
@@ -89,7 +89,7 @@
     """Increases by one with each change."""
 
     change_id: str
-    """Id by which the author recognises its own change after an unacknowledged write."""
+    """Id chosen by the author, which identifies its own change after an unacknowledged write."""
 
     author: str
     created_at: float
--- a/vanillawell/protocol/lease_bounds.py
+++ b/vanillawell/protocol/lease_bounds.py
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExecutorBound:
-    """Information of the owner on one executor at the time of writing."""
+    """Lease bound and current incarnation of one executor, as known at the time of writing."""
 
     left: float
     """Seconds after which all leases on the executor have certainly expired."""
@@ -34,7 +34,7 @@
 
     Each owner writes the document again under its own token, in the transaction by which it takes
     the shard over. The bounds are therefore valid if the document has the token of the previous
-    owner. If the token is older, an owner whose version does not know this document may have
+    owner. If the token is older, an owner that runs a version without this document may have
     extended any lease since then.
     """
 
--- a/vanillawell/protocol/queue_documents.py
+++ b/vanillawell/protocol/queue_documents.py
@@ -1,4 +1,4 @@
-"""Define the stored rules of queues, for successors that no longer find them in the policy."""
+"""Define the stored rules of queues, for later owners whose configuration lacks the queues."""
 
 from __future__ import annotations
 
--- a/vanillawell/protocol/verdict.py
+++ b/vanillawell/protocol/verdict.py
@@ -1,4 +1,4 @@
-"""Define what is known of whether a request ran at a backend server."""
+"""Define the verdict on whether a request ran at a backend server."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Verdict(StrEnum):
-    """Knowledge of whether a request ran, after an attempt to send it.
+    """Whether a request ran, as far as known after an attempt to send it.
 
     NOT_RUN requires proof: a refused connection, no byte written, or a refusal by the backend
     server itself. MAY_HAVE_RUN applies once a byte was sent and no complete answer arrived.
--- a/vanillawell/protocol/work_documents.py
+++ b/vanillawell/protocol/work_documents.py
@@ -94,7 +94,7 @@
         return f"{self.prefix}term/{shard}"
 
     def wave(self, number: int) -> str:
-        """Return the key of the machines of a wave whose upkeep is complete."""
+        """Return the key of the stored progress of a wave of machine upkeep."""
         return f"{self.prefix}wave/{number}"
 
     def machine_orders(self, shard: str) -> str:
@@ -147,7 +147,7 @@
 
     name: str
     weakness: float
-    """Capacity shortfall from 0, sufficient for any shard, to 1."""
+    """Capacity shortfall of the entry, from 0 if it can own any shard to 1."""
 
     def to_bytes(self) -> bytes:
         """Serialise the document."""
@@ -212,7 +212,7 @@
 
 
 def _write_step(step: StepProgress) -> dict[str, Any]:
-    """Return the indexes of done tasks, and a row for each started task not done or with a run.
+    """Return the done tasks, and a row for each started task that is not done or has a current run.
 
     The executors on which tasks failed and the superseded runs are separate fields, since earlier
     versions ignore unknown fields but reject the record if a task's row is longer. An earlier
--- a/vanillawell/state/availability.py
+++ b/vanillawell/state/availability.py
@@ -16,12 +16,14 @@
 def count_others_away(step: StepProgress, run: Run) -> int:
     """Return how many other tasks of a step are away."""
     return sum(
-        task.run is None or not is_running(task.run) for task in step.tasks if task.run is not run
+        task.run is None or not counts_as_available(task.run)
+        for task in step.tasks
+        if task.run is not run
     )
 
 
-def is_running(run: Run) -> bool:
-    """Return whether a long-running task was last reported as running and is not being stopped."""
+def counts_as_available(run: Run) -> bool:
+    """Return whether a run was last reported as available, and no stop of it was requested."""
     return run.is_available and not run.stop_requested
 
 
@@ -31,8 +33,8 @@
     A step limits how many of its tasks may be away at once. Tasks that are away for any other
     reason count too. A run whose last report did not show it at work gets no exemption: after a
     change of owner nothing has been reported yet, and a task may have started its work between two
-    reports. With such an exemption, a new owner stopped two tasks of a step of which one may be
-    away.
+    reports. With such an exemption, a new owner stopped two tasks of a step that allows only one of
+    its tasks to be away.
     """
     bound = run.task.step.spec.most_away
     return not bound or count_others_away(run.task.step, run) < bound
@@ -49,7 +51,9 @@
     for step in {run.task.step for run in long_running}:
         here = [run for run in long_running if run.task.step is step]
         bound = step.spec.most_away
-        elsewhere = count_others_away(step, here[0]) - sum(not is_running(run) for run in here[1:])
+        elsewhere = count_others_away(step, here[0]) - sum(
+            not counts_as_available(run) for run in here[1:]
+        )
         if bound and elsewhere + len(here) > bound:
             return False
     return True
@@ -59,8 +63,8 @@
     """Mark all runs on an executor as away because an order that ends it is about to be sent.
 
     Orders are sent concurrently. If runs were marked only when the order is answered, two tasks of
-    a step of which one may be away could be interrupted together. The next report restores the
-    actual state.
+    a step that allows one of them to be away could be interrupted together. The next report
+    restores the actual state.
     """
     for run in executor.runs.values():
         run.is_available = False
--- a/vanillawell/state/burn.py
+++ b/vanillawell/state/burn.py
@@ -1,9 +1,10 @@
 """Count how fast each service and organisation consumes its error budget.
 
-A request is good if a backend server answered in time with a status below 500, bad if it failed or
-was refused for lack of capacity, and not counted if the caller was at fault. The burn rate is the
-part of bad requests divided by the part that the objective allows: at 1 the budget is used up
-exactly at the end of its period; 14.4 over an hour uses up 2 % of a month's budget.
+A request is good if it was answered in time with a status below 400, and not counted if its status
+is one of `CALLER_FAULT_STATUSES`. All others are bad, such as those that failed, that were late or
+that were refused for lack of capacity. The burn rate is the fraction of bad requests divided by the
+fraction that the objective allows: at 1 the budget is used up exactly at the end of its period;
+14.4 over an hour uses up 2 % of a month's budget.
 """
 
 from __future__ import annotations
@@ -52,7 +53,7 @@
 
 
 def burn_rate(good: int, bad: int, objective: float) -> float:
-    """Return the part of bad requests divided by the part that the objective allows."""
+    """Return the fraction of bad requests divided by the fraction that the objective allows."""
     total = good + bad
     return bad / total / (1 - objective) if total else 0.0
 
@@ -90,7 +91,9 @@
     def __init__(self) -> None:
         self._series: dict[tuple[str, str], BucketSeries] = {}
 
-    def note(self, service: str, organisation: str, status: int, in_time: bool, now: float) -> None:
+    def record(
+        self, service: str, organisation: str, status: int, in_time: bool, now: float
+    ) -> None:
         """Count a request unless its caller was at fault."""
         if status in CALLER_FAULT_STATUSES:
             return
--- a/vanillawell/state/executors.py
+++ b/vanillawell/state/executors.py
@@ -70,7 +70,7 @@
 
     runs: dict[tuple[TaskId, int], Run] = field(default_factory=dict)
     used: Resources = NO_RESOURCES
-    seen_end: int = 0
+    last_applied_end: int = 0
     """Highest sequence number of an end that was applied from its reports."""
 
     unsaved_ends: set[int] = field(default_factory=set)
@@ -134,7 +134,7 @@
     @property
     def saved_end(self) -> int:
         """Return the highest sequence number up to which all ends are stored."""
-        return min(self.unsaved_ends) - 1 if self.unsaved_ends else self.seen_end
+        return min(self.unsaved_ends) - 1 if self.unsaved_ends else self.last_applied_end
 
     def begin_incarnation(self, now: float) -> None:
         """Reset its state after a restart under the same id.
@@ -143,7 +143,7 @@
         runs it has: an order that was just sent may already have reached the new incarnation.
         """
         self.contacted = False
-        self.seen_end = 0
+        self.last_applied_end = 0
         self.unsaved_ends.clear()
         self.failures.clear()
         self.earliest_departure = None
--- a/vanillawell/state/health.py
+++ b/vanillawell/state/health.py
@@ -91,7 +91,7 @@
         """Return the health of an executor."""
         return self._executors.setdefault(executor, ExecutorHealth())
 
-    def keep(self, executors: set[str]) -> None:
+    def retain_only(self, executors: set[str]) -> None:
         """Remove executors that have left the pool."""
         self._executors = {key: value for key, value in self._executors.items() if key in executors}
 
@@ -104,8 +104,8 @@
         """Record a refusal because the executor is full with `running` attempts of this entry.
 
         This does not count as a failure. Several entries that each expect a free slot would retry
-        over and over; the window limits each entry to the number of attempts that the executor has
-        accepted from it.
+        over and over; the concurrency window limits each entry to the number of attempts that the
+        executor has accepted from it.
         """
         health = self.of(executor)
         health.probing = False
--- a/vanillawell/state/job_table.py
+++ b/vanillawell/state/job_table.py
@@ -88,7 +88,7 @@
         """Record how a run of a task ended, and update its job."""
         record = task.step.record
         self.changed[record.job.job_id] = record
-        task.changed = now
+        task.last_ended_at = now
         if checkpoint:
             self._set_checkpoint(task, checkpoint)
         if record.state.final or task.done:
@@ -165,7 +165,7 @@
                 counts[record.job.queue] = counts.get(record.job.queue, 0) + 1
         return counts
 
-    def forgettable(self, wall: float) -> Iterator[JobRecord]:
+    def removable(self, wall: float) -> Iterator[JobRecord]:
         """Iterate over final jobs whose retention time has passed."""
         return (
             record
@@ -175,7 +175,7 @@
             and wall > record.ended + self._retention
         )
 
-    def forget(self, job_id: str) -> None:
+    def remove(self, job_id: str) -> None:
         """Remove a job."""
         self.jobs.pop(job_id, None)
         self.changed.pop(job_id, None)
--- a/vanillawell/state/jobs.py
+++ b/vanillawell/state/jobs.py
@@ -94,7 +94,7 @@
 
     @classmethod
     def from_bytes(cls, data: bytes) -> JobRegistry:
-        """Deserialise the document."""
+        """Parse the document."""
         document: dict[str, Any] = orjson.loads(data)
         jobs = {name: _read_job(item) for name, item in document["jobs"].items()}
         return cls(document["version"], jobs, document["size_ratio"], document["succeeded_on"])
@@ -251,7 +251,7 @@
 
 
 def _update_size_ratio(registry: JobRegistry, job: Job, report: TaskReport) -> JobRegistry:
-    """Update the size ratio of a kind if the measured use contradicts it."""
+    """Update the size ratio of a kind if the measured use differs from it by a fifth or more."""
     ratio = report.used_cores / max(job.cores, 0.1)
     expected = registry.size_ratio.get(job.kind, 1.0)
     if report.used_cores <= 0 or abs(ratio - expected) < 0.2 * expected:
--- a/vanillawell/state/ledger.py
+++ b/vanillawell/state/ledger.py
@@ -302,7 +302,7 @@
             self._remove_if_unused(executor)
         return ended
 
-    def take_report(
+    def apply_report(
         self,
         executor: Executor,
         report: HoldReport,
@@ -322,7 +322,7 @@
             executor.begin_incarnation(now)
         executor.record_answer(sent)
         for end in report.ended:
-            if end.sequence > executor.seen_end:
+            if end.sequence > executor.last_applied_end:
                 self._apply_end(executor, end, outcome, now, find)
         rows_by_run = {
             (row.task_id, row.run): row for row in report.running if row.task_id is not None
@@ -359,7 +359,7 @@
         now: float,
         find: Callable[[TaskId], Task | None],
     ) -> None:
-        executor.seen_end = end.sequence
+        executor.last_applied_end = end.sequence
         if end.task_id is None:
             return
         run = executor.runs.get((end.task_id, end.run))
--- a/vanillawell/state/limits.py
+++ b/vanillawell/state/limits.py
@@ -6,7 +6,7 @@
 
 The design covers these failures: a response that is lost after a write took effect, a write that is
 delayed and applied later, a holder that ends or is paused while its requests are still running at
-backend servers, and a limit that operators lower while units are in use.
+backend servers, and a limit that operators lower while its units are granted.
 """
 
 from __future__ import annotations
@@ -51,7 +51,7 @@
 
     @classmethod
     def from_bytes(cls, data: bytes) -> Ledger:
-        """Deserialise the document."""
+        """Parse the document."""
         return cls(**orjson.loads(data))
 
     def with_units(self, holder: str, units: int) -> Ledger:
@@ -220,8 +220,9 @@
 ) -> int:
     """Return the units to hold while no other entry lacks any: at least an even share.
 
-    Units above that are released some seconds after a peak. Free units in the ledger cannot be used
-    by any entry while the store is down or a zone is isolated.
+    An idle entry holds its share too, since free units in the ledger cannot be used by any entry
+    while the store is down or its zone is isolated. Units above the share are released some seconds
+    after a peak.
     """
     wanted = max(target, demand.recent_peak, organisation.even_share)
     if held > wanted:
--- a/vanillawell/state/lost_executors.py
+++ b/vanillawell/state/lost_executors.py
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True)
 class LostExecutors:
-    """Unresponsive executors that one version of the list shows to be lost."""
+    """Unconfirmed executors that one version of the list shows to be lost."""
 
     terminated: list[Executor] = field(default_factory=list)
     """Executors whose machines are listed as not up, or with another executor."""
@@ -36,8 +36,11 @@
     incomplete."""
 
 
-def unresponsive_executors(executors: Iterable[Executor], now: float) -> list[Executor]:
-    """Return the unresponsive executors that have work and should be listed by now."""
+def unconfirmed_executors(executors: Iterable[Executor], now: float) -> list[Executor]:
+    """Return the executors with runs that are unconfirmed and should be listed by now.
+
+    These are unresponsive, or have not reported since this process became the owner.
+    """
     return [
         item
         for item in executors
@@ -57,7 +60,7 @@
     found = LostExecutors()
     if not is_list_credible(executors, running, requested_at):
         return found
-    for executor in unresponsive_executors(executors, requested_at):
+    for executor in unconfirmed_executors(executors, requested_at):
         if executor.name in running:
             continue
         listed = executor.facts.machine in executor_by_machine
@@ -68,7 +71,7 @@
 def is_list_credible(
     executors: Iterable[Executor], running: Collection[str], requested_at: float
 ) -> bool:
-    """Return whether a list contains most of the executors that are known to be up.
+    """Return whether a list contains at least `MIN_LISTED_PART` of the responding executors.
 
     Executors that may have started after the list was made are ignored, unless there are no others.
     """
--- a/vanillawell/state/placement.py
+++ b/vanillawell/state/placement.py
@@ -25,8 +25,8 @@
     return executor.used.cpu / capacity if capacity else 1.0
 
 
-def filling_tasks_on(executor: Executor) -> int:
-    """Return the number of tasks on an executor that use only idle processor time."""
+def count_background_tasks(executor: Executor) -> int:
+    """Return the number of background tasks on an executor."""
     return sum(run.task.step.spec.fills for run in executor.runs.values())
 
 
@@ -113,7 +113,7 @@
         same_rack = self._on_rack[rack] if spec.long_running else 0
         same_executor = self._on_executor[executor.name] if spec.long_running else 0
         if spec.fills:
-            same_executor += filling_tasks_on(executor)
+            same_executor += count_background_tasks(executor)
         used = cpu_utilisation(executor) if spec.long_running else -cpu_utilisation(executor)
         return (
             executor.name == task.failed_on,
--- a/vanillawell/state/placement_pass.py
+++ b/vanillawell/state/placement_pass.py
@@ -129,9 +129,11 @@
             self._shard.commit_plan(run)
 
     def _record_unplaced(self, step: StepProgress, queue: Queue, placer: StepPlacer) -> None:
-        """Reserve an executor for a long-running task; spare later steps a search that must fail.
+        """Record why a step could not be placed.
 
-        A need is recorded as failed only if no placement constraint or reservation limited it.
+        An executor is reserved for a long-running step. The need of any other step is recorded as
+        failed, so that later steps skip a search that cannot succeed, but only if no placement
+        constraint or reservation limited it.
         """
         spec = step.spec
         if not self._is_within_limit(step.waiting[0]):
--- a/vanillawell/state/pool_steps.py
+++ b/vanillawell/state/pool_steps.py
@@ -95,7 +95,7 @@
 def _spare_beyond_budget(view: FleetView, spare: str) -> list[str]:
     members = sorted(view.members(spare))
     # A spare instance that is lent again and again would never be rebooted and the wave would
-    # never end, so an instance that awaits maintenance is neither lent nor held.
+    # never end, so an instance that awaits maintenance is not lent, and is returned if it is.
     ready = [name for name in members if not view.awaits_maintenance(name)]
     return ready[: max(0, len(members) - view.budgets[spare])]
 
--- a/vanillawell/state/pools.py
+++ b/vanillawell/state/pools.py
@@ -1,8 +1,9 @@
 """Model the pool of each instance and the margin of each pool above its availability budget.
 
 The assignment is one map from instance to pool in one stored value, so an instance cannot be in two
-pools. Each step is checked and reserved in the same write. A planner that was paused or replaced
-cannot write, so it cannot exceed a budget.
+pools. Each step is reserved by a write that succeeds only if the assignment is still the one that
+the step was checked against. A planner that was paused or replaced cannot write, so it cannot
+exceed a budget.
 """
 
 from __future__ import annotations
@@ -91,7 +92,7 @@
 
     @classmethod
     def from_bytes(cls, data: bytes) -> Assignment:
-        """Deserialise the document."""
+        """Parse the document."""
         document: dict[str, Any] = orjson.loads(data)
         placements = {
             name: Placement(**{**item, "phase": Phase(item["phase"])})
--- a/vanillawell/state/queueing.py
+++ b/vanillawell/state/queueing.py
@@ -82,7 +82,7 @@
             queue.append(item)
 
     def remove(self, item: WaitingRequest) -> bool:
-        """Take a cancelled request out; False if it no longer waits."""
+        """Remove a cancelled request; return False if it no longer waits."""
         try:
             self.queue_for(item.urgent).remove(item)
         except ValueError:
@@ -120,7 +120,7 @@
         self._organisations.setdefault(item.organisation, OrganisationQueue()).add(item, front)
 
     def remove(self, item: WaitingRequest) -> bool:
-        """Take a cancelled request out; False if it no longer waits."""
+        """Remove a cancelled request; return False if it no longer waits."""
         queue = self._organisations.get(item.organisation)
         return queue is not None and queue.remove(item)
 
--- a/vanillawell/state/ranking.py
+++ b/vanillawell/state/ranking.py
@@ -13,7 +13,7 @@
 The published terms count a job as late up to this multiple, and not at all beyond it."""
 
 REMAINING_WORK_MARGIN = 1.3
-"""Multiple of the expected remaining work that must fit before the deadline of a job in time.
+"""A job counts as in time if this multiple of its expected remaining work fits before its deadline.
 
 Estimates vary and later steps may have to wait. Without a margin the pool keeps starting jobs at
 the last moment, most of which then miss their deadline."""
@@ -29,7 +29,7 @@
     """Priority of its queue."""
 
     lateness: int
-    """0 while its job can still be in time, 1 if it is late, 2 if it has no value any more."""
+    """0 while its job can still be in time, 1 if it no longer can, 2 if it has lost its value."""
 
     not_started: bool
     """Whether no work was done for its job yet."""
--- a/vanillawell/state/routing.py
+++ b/vanillawell/state/routing.py
@@ -101,7 +101,7 @@
     return max(1, connections // max(1, entries))
 
 
-def subset(
+def executor_subset(
     executors: tuple[str, ...], entries: tuple[str, ...], entry: str, connections: int
 ) -> tuple[str, ...]:
     """Return the executors that `entry` may use if there are more entries than connections.
--- a/vanillawell/state/shard.py
+++ b/vanillawell/state/shard.py
@@ -182,11 +182,11 @@
             log.warning("leases expired", extra={"executor": name, "runs": runs})
         self._apply_ends(ended, now, wall)
 
-    def take_report(
+    def apply_report(
         self, executor: Executor, report: HoldReport, sent: float, now: float, wall: float
     ) -> None:
         """Apply an executor's report, the answer to a call that was sent at `sent`."""
-        outcome = self.ledger.take_report(executor, report, sent, now, self.job_table.find)
+        outcome = self.ledger.apply_report(executor, report, sent, now, self.job_table.find)
         numbers = [end.sequence for end in report.ended if end.sequence in executor.unsaved_ends]
         self.outbox.ends.extend(EndConfirmation(executor, number) for number in numbers)
         self._apply_ends(outcome.ended, now, wall)
@@ -332,7 +332,7 @@
         return rank_of(step, queue.priority if queue else 0, now)
 
     def _weighted_usage(self, organisation: str) -> float:
-        """Return an organisation's charged processors, divided by the weight of its share."""
+        """Return an organisation's charged millicores, divided by the weight of its share."""
         limits = self._policy.organisations.get(organisation) if self._policy else None
         weight = limits.share if limits and limits.share > 0 else 1.0
         return self.ledger.usage(organisation).cpu / weight
--- a/vanillawell/state/slot_allocation.py
+++ b/vanillawell/state/slot_allocation.py
@@ -12,8 +12,8 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-Rates = Mapping[str, float]
-"""Slots by organisation, or demand by organisation."""
+AmountByOrganisation = Mapping[str, float]
+"""Slots, demand or share by organisation."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,7 +33,9 @@
         }
 
 
-def fair_slots(slots: float, demand: Rates, shares: Rates) -> dict[str, float]:
+def fair_slots(
+    slots: float, demand: AmountByOrganisation, shares: AmountByOrganisation
+) -> dict[str, float]:
     """Divide `slots` by weighted max-min fairness.
 
     An organisation that wants less than its part gets what it wants. The remainder goes to the
@@ -70,7 +72,9 @@
     return {name: floors[name] + (name in rounded_up) for name in sorted(parts)}
 
 
-def source_targets(slots: int, demand: PoolDemand, shares: Rates) -> dict[str, dict[str, float]]:
+def source_targets(
+    slots: int, demand: PoolDemand, shares: AmountByOrganisation
+) -> dict[str, dict[str, float]]:
     """Return, for each source, the slots that each of its organisations should occupy."""
     totals = demand.by_organisation()
     allocated = fair_slots(slots, totals, shares)
--- a/vanillawell/state/stalls.py
+++ b/vanillawell/state/stalls.py
@@ -23,7 +23,7 @@
 """Part of its expected run time for which a long task may show no progress. Progress is reported in
 whole per cent, so this is five of its steps."""
 
-COMPLETE = 100
+COMPLETE_PERCENT = 100
 """Percentage at which a task has finished its work and is about to end."""
 
 MIN_STALLED_TASKS = 2
@@ -47,7 +47,7 @@
 def _should_progress(run: Run) -> bool:
     """Return whether progress is expected of a run.
 
-    Members of a gang wait for each other, and tasks on idle processor time for other tasks.
+    Members of a gang wait for each other, and background tasks for idle processor time.
     """
     spec = run.task.step.spec
     may_wait = spec.long_running or spec.gang or spec.fills
@@ -60,7 +60,7 @@
 
 def _is_progressing(run: Run, now: float) -> bool:
     """Return whether a run has progressed within its stall timeout, or has finished its work."""
-    if run.percent >= COMPLETE:
+    if run.percent >= COMPLETE_PERCENT:
         return True
     if run.progressed_at is None or run.progressed_at == run.first_reported_at:
         return False
--- a/vanillawell/state/upkeep.py
+++ b/vanillawell/state/upkeep.py
@@ -1,9 +1,10 @@
 """Plan waves of machine upkeep within the limits on absent machines and tasks.
 
-The upkeep of a machine ends everything on it at once. So a machine is first closed to new tasks,
-its long-running tasks are moved one after the other as far as their steps allow, and the others are
-given time to end. The next machine is emptied while the present one is away: emptying takes about
-as long as the upkeep itself, so waves that did one after the other would be late.
+The upkeep of a machine ends everything on it at once. So a machine is first closed to new tasks
+(cordoned), its long-running tasks are moved one after the other as far as their steps allow, and
+the others are given time to end. The next machine is emptied while the present one is away:
+emptying takes about as long as the upkeep itself, so a wave that did both in sequence would be
+late.
 """
 
 from __future__ import annotations
@@ -71,7 +72,7 @@
 
     wave: Wave
     first_seen: float
-    """Time of the decision clock when the wave was first seen."""
+    """When the wave was first seen, on the monotonic clock (`vanillawell.clock`)."""
 
     decided: set[str] = field(default_factory=set)
     """Machines whose upkeep was decided; stored before the order is sent."""
@@ -83,7 +84,7 @@
     """Machines that are away, with the incarnation of the executor that ran before the upkeep."""
 
     ordered: dict[str, float] = field(default_factory=dict)
-    """Time of the decision clock at which the latest order for each machine was sent."""
+    """When the latest order for each machine was sent, on the same clock."""
 
     closed: dict[str, float] = field(default_factory=dict)
     """Machines being emptied, with the time at which that began."""
@@ -202,8 +203,9 @@
     """Return the long-running tasks that may be moved off an executor now, one of each step.
 
     A task that no other executor can take keeps running; stopped now, it would be away until
-    another machine has arrived. The order of tasks is the same for each owner, so that a new owner
-    that does not know yet what its predecessor stopped chooses the same task, not a second one.
+    another machine has arrived. The order of tasks is the same for each owner, so that a new owner,
+    which has no report yet of the tasks that the previous owner stopped, chooses the same task and
+    not a second one.
     """
     chosen: dict[StepProgress, Run] = {}
     for run in sorted(executor.runs.values(), key=lambda run: run.task.task_id):
--- a/vanillawell/state/work.py
+++ b/vanillawell/state/work.py
@@ -80,13 +80,15 @@
     """Whether tasks run until the job is cancelled, and are restarted whenever they end."""
 
     image: str = ""
-    """Program that the tasks run; run times are measured per image."""
+    """Program that the tasks run. Run times are measured by image, since tasks of one image behave
+    alike."""
 
     tail_target: float = 0.0
     """Upper limit for the tail latency of the tasks' own responses, in seconds; 0 for none."""
 
     fills: bool = False
-    """Whether the tasks use only idle processor time, and therefore reserve none."""
+    """Whether these are background tasks, which use only idle processor time and reserve no
+    processors."""
 
     most_away: int = 0
     """Maximum number of tasks that planned maintenance may interrupt at once; 0 for no limit."""
@@ -269,7 +271,7 @@
     failed_on: str = ""
     """Executor of the most recent failed run."""
 
-    changed: float = 0.0
+    last_ended_at: float = 0.0
     """When its latest run ended."""
 
     @property
@@ -342,7 +344,7 @@
 
     critical_paths: tuple[float, ...] = ()
     """Expected seconds of the longest chain of dependent steps that begins with each step, as
-    estimated on admission."""
+    estimated when the deadline was set."""
 
     @property
     def has_started(self) -> bool:
--- a/vanillawell/tests/copies_tests.py
+++ b/vanillawell/tests/copies_tests.py
@@ -46,7 +46,7 @@
         now = self.harness.now
         self.unresponsive.unresponsive_since = None
         report = HoldReport(0.0, 1, list(rows), list(ends))
-        self.harness.shard.take_report(self.unresponsive, report, now, now, now)
+        self.harness.shard.apply_report(self.unresponsive, report, now, now, now)
 
     def row(self, run: Run) -> ReportedRun:
         return ReportedRun(run.task.task_id, run.number, "", 50, 0.0)
--- a/vanillawell/tests/draining_state_tests.py
+++ b/vanillawell/tests/draining_state_tests.py
@@ -111,7 +111,7 @@
         harness.now += 1.0
         row = ReportedRun(run.task.task_id, run.number, "", percent, 0.0)
         report = HoldReport(0.0, executor.facts.incarnation, [row], [])
-        harness.shard.take_report(executor, report, harness.now, harness.now, harness.now)
+        harness.shard.apply_report(executor, report, harness.now, harness.now, harness.now)
     return run
 
 
--- a/vanillawell/tests/late_refusal_tests.py
+++ b/vanillawell/tests/late_refusal_tests.py
@@ -98,12 +98,12 @@
     harness = ShardHarness(facts("i-0"))
     sent = harness.now - 1.0
     executor = harness.register(facts("i-0", incarnation=2))
-    harness.shard.take_report(
+    harness.shard.apply_report(
         executor, HoldReport(0.0, 2, [], []), harness.now, harness.now, harness.now
     )
     harness.admit(job())
     (run,) = harness.place()
-    harness.shard.take_report(executor, HoldReport(0.0, 1, [], []), sent, harness.now, harness.now)
+    harness.shard.apply_report(executor, HoldReport(0.0, 1, [], []), sent, harness.now, harness.now)
     assert executor.facts.incarnation == 2
     assert run.task.run is run
 
@@ -113,7 +113,7 @@
     harness = ShardHarness(facts("i-0"))
     executor = harness.register(facts("i-0", incarnation=9))
     harness.now += 1.0
-    harness.shard.take_report(
+    harness.shard.apply_report(
         executor, HoldReport(0.0, 1, [], []), harness.now, harness.now, harness.now
     )
     assert executor.facts.incarnation == 1
--- a/vanillawell/tests/ledger_tests.py
+++ b/vanillawell/tests/ledger_tests.py
@@ -21,7 +21,7 @@
     harness.admit(job(step(8)))
     assert len(harness.place()) == 8
     report = HoldReport(0.0, 1, [], [])
-    shard.take_report(before, report, harness.now, harness.now, harness.now)
+    shard.apply_report(before, report, harness.now, harness.now, harness.now)
     assert shard.ledger.executors["i-0"] is after
     assert after.free == Resources(0, 64_000 - 80)
 
@@ -74,13 +74,13 @@
     run.enter_phase(RunPhase.UNCERTAIN, harness.now)
     executor = harness.shard.ledger.executors["i-0"]
     empty = HoldReport(0.0, 1, [], [])
-    harness.shard.take_report(executor, empty, harness.now + 1, harness.now + 1, 0.0)
+    harness.shard.apply_report(executor, empty, harness.now + 1, harness.now + 1, 0.0)
     assert run.stop_requested
     assert run.task.run is run
     run.stop_confirmed = harness.now + 2
-    harness.shard.take_report(executor, empty, harness.now + 1.5, harness.now + 3, 0.0)
+    harness.shard.apply_report(executor, empty, harness.now + 1.5, harness.now + 3, 0.0)
     assert run.task.run is run
-    harness.shard.take_report(executor, empty, harness.now + 3, harness.now + 3, 0.0)
+    harness.shard.apply_report(executor, empty, harness.now + 3, harness.now + 3, 0.0)
     assert run.task.run is None
 
 
@@ -91,6 +91,6 @@
     executor = harness.shard.ledger.executors["i-0"]
     end = ReportedEnd(1, run.task.task_id, 1, Ending.FAILED, "")
     for _ in range(3):
-        harness.shard.take_report(executor, HoldReport(0.0, 1, [], [end]), 101, 101, 0.0)
+        harness.shard.apply_report(executor, HoldReport(0.0, 1, [], [end]), 101, 101, 0.0)
     assert run.task.failures == 1
     assert executor.saved_end == 0
--- a/vanillawell/tests/lost_executors_tests.py
+++ b/vanillawell/tests/lost_executors_tests.py
@@ -7,7 +7,7 @@
     MAX_LIST_LAG,
     LostExecutors,
     find_lost_executors,
-    unresponsive_executors,
+    unconfirmed_executors,
 )
 from vanillawell.tests.scheduling_builders import ShardHarness, facts, job, step
 
@@ -32,7 +32,7 @@
     harness, executors = harness_with("i-1", "i-2", "i-3")
     executors[0].unresponsive_since = harness.now
     requested_at = harness.now + AFTER_LIST_LAG
-    assert unresponsive_executors(executors, requested_at) == [executors[0]]
+    assert unconfirmed_executors(executors, requested_at) == [executors[0]]
     assert find_lost_executors(
         executors, machine_list("i-2", "i-3", down=("i-1",)), requested_at
     ).terminated == [executors[0]]
@@ -132,7 +132,7 @@
     harness = ShardHarness(facts("i-1"))
     executors = list(harness.shard.ledger.executors.values())
     executors[0].unresponsive_since = harness.now
-    assert unresponsive_executors(executors, harness.now + AFTER_LIST_LAG) == []
+    assert unconfirmed_executors(executors, harness.now + AFTER_LIST_LAG) == []
 
 
 def test_new_executors_do_not_count_against_a_list() -> None:
--- a/vanillawell/tests/scheduling_builders.py
+++ b/vanillawell/tests/scheduling_builders.py
@@ -117,10 +117,10 @@
     def end(self, run: Run, ending: Ending = Ending.DONE) -> None:
         """Let an executor report the end of a run."""
         executor = self.shard.ledger.executors[run.executor]
-        row = ReportedEnd(executor.seen_end + 1, run.task.task_id, run.number, ending, "")
+        row = ReportedEnd(executor.last_applied_end + 1, run.task.task_id, run.number, ending, "")
         report = HoldReport(0.0, executor.facts.incarnation, [], [row])
         sent = min(self.now, run.phase_since)
-        self.shard.take_report(executor, report, sent, self.now, self.now)
+        self.shard.apply_report(executor, report, sent, self.now, self.now)
 
 
 def job_ids(runs: list[Run]) -> list[str]:
--- a/vanillawell/tests/shard_invariants_tests.py
+++ b/vanillawell/tests/shard_invariants_tests.py
@@ -130,7 +130,7 @@
         ]
         now = self.harness.now = self.harness.now + 0.1
         report = HoldReport(0.0, executor.facts.incarnation, running, [])
-        self.shard.take_report(executor, report, now, now, now)
+        self.shard.apply_report(executor, report, now, now, now)
 
     @precondition(lambda self: self._runs(RunPhase.UNCERTAIN))
     @rule(data=st.data())
@@ -141,7 +141,7 @@
         self.unconfirmed.discard(run)
         executor = self.shard.ledger.executors[run.executor]
         now = self.harness.now = self.harness.now + 0.1
-        self.shard.take_report(
+        self.shard.apply_report(
             executor, HoldReport(0.0, executor.facts.incarnation, [], []), now, now, now
         )
 
@@ -152,7 +152,7 @@
         self._discard_unconfirmed(name)
         executor = self.harness.register(facts(name, CPU, incarnation=self.incarnations[name]))
         now = self.harness.now = self.harness.now + 0.1
-        self.shard.take_report(
+        self.shard.apply_report(
             executor, HoldReport(0.0, self.incarnations[name], [], []), now + 0.01, now + 0.02, now
         )
 
@@ -198,7 +198,7 @@
         ]
         now = self.harness.now = self.harness.now + 0.1
         report = HoldReport(0.0, executor.facts.incarnation, running, [])
-        self.shard.take_report(executor, report, now, now, now)
+        self.shard.apply_report(executor, report, now, now, now)
 
     def _discard_unconfirmed(self, name: str) -> None:
         """Record that no earlier order to an executor can be executed any more."""
--- a/vanillawell/tests/stalls_tests.py
+++ b/vanillawell/tests/stalls_tests.py
@@ -15,7 +15,7 @@
         for run, percent in zip(runs, percents, strict=True)
     ]
     report = HoldReport(0.0, executor.facts.incarnation, rows, [])
-    harness.shard.take_report(executor, report, harness.now, harness.now, harness.now)
+    harness.shard.apply_report(executor, report, harness.now, harness.now, harness.now)
     stops, harness.shard.outbox.stops = harness.shard.outbox.stops, []
     return stops
 
--- a/vanillawell/tests/state_tests.py
+++ b/vanillawell/tests/state_tests.py
@@ -17,7 +17,7 @@
 from vanillawell.state.queueing import FairQueue, SlotUse, WaitingRequest
 from vanillawell.state.response_times import MIN_OVERDUE_TIME, ServiceTime
 from vanillawell.state.retries import FailedAttempt, Failure, RetryBudget, RetryDecision, decide
-from vanillawell.state.routing import connection_bound, subset
+from vanillawell.state.routing import connection_bound, executor_subset
 from vanillawell.state.slot_allocation import (
     PoolDemand,
     executor_quotas,
@@ -209,7 +209,7 @@
 def test_connections_of_all_entries_stay_within_an_executors_limit() -> None:
     assert all(connection_bound(64, entries) * entries <= 64 for entries in range(1, 65))
     entries = tuple(f"e{number}" for number in range(100))
-    users = sum("x1" in subset(("x1",), entries, entry, 64) for entry in entries)
+    users = sum("x1" in executor_subset(("x1",), entries, entry, 64) for entry in entries)
     assert users == 64
 
 
@@ -224,8 +224,8 @@
 def test_burn_counts_exclude_errors_of_the_caller() -> None:
     counters = BurnCounters()
     for status in (200, 200, 200, 503, 401, 422):
-        counters.note("check", "guild", status, True, 0.0)
-    counters.note("check", "guild", 200, False, 400.0)
+        counters.record("check", "guild", status, True, 0.0)
+    counters.record("check", "guild", 200, False, 400.0)
     counts = counters.counts(400.0)["check", "guild"]
     assert (counts.good_long, counts.bad_long) == (3, 2)
     assert (counts.good_short, counts.bad_short) == (0, 1)
--- a/vanillawell/transport/caller.py
+++ b/vanillawell/transport/caller.py
@@ -138,7 +138,7 @@
         organisation = policy.organisations.get(labels["organisation"]) if policy else None
         if organisation and labels["service"] != "-" and outcome.status:
             in_time = now - started <= organisation.objective_seconds
-            self._burn.note(labels["service"], organisation.name, outcome.status, in_time, now)
+            self._burn.record(labels["service"], organisation.name, outcome.status, in_time, now)
 
     async def _handle(
         self, scope: Scope, receive: Receive, send: Send, labels: dict[str, str]
