--- a/vanillawell/coordination/cycle_log.py
+++ b/vanillawell/coordination/cycle_log.py
@@ -17,7 +17,7 @@
 
 log = logging.getLogger(__name__)
 
-ROWS_IN_A_LINE = 32
+MAX_TASKS_PER_LINE = 32
 """Tasks in one log line, some two kilobytes."""
 
 
@@ -35,5 +35,5 @@
 
 
 def _log_rows(message: str, rows: list[list[object]], token: int) -> None:
-    for first in range(0, len(rows), ROWS_IN_A_LINE):
-        log.info(message, extra={"runs": rows[first : first + ROWS_IN_A_LINE], "token": token})
+    for first in range(0, len(rows), MAX_TASKS_PER_LINE):
+        log.info(message, extra={"runs": rows[first : first + MAX_TASKS_PER_LINE], "token": token})
--- a/vanillawell/coordination/executor_driver.py
+++ b/vanillawell/coordination/executor_driver.py
@@ -81,7 +81,7 @@
     def wake_if_needed(self) -> None:
         """Wake the driver if it is idle and a call is due; cheap enough to run in every scheduling
         cycle."""
-        if self._idle and self._wants_hold():
+        if self._idle and self._is_hold_due():
             self._wake_event.set()
 
     async def run(self) -> None:
@@ -89,7 +89,7 @@
         confirmation."""
         try:
             while self._is_needed():
-                if self._wants_hold():
+                if self._is_hold_due():
                     await self._hold_once()
                 else:
                     self._idle = True
@@ -105,7 +105,7 @@
         await self._wake_event.wait()
         self._wake_event = anyio.Event()
 
-    def _wants_hold(self) -> bool:
+    def _is_hold_due(self) -> bool:
         executor = self._executor
         if not executor.facts.address:
             return False
@@ -205,7 +205,7 @@
             self._confirmed_end = max(self._confirmed_end, saved)
         self._link.record_answer(report.incarnation, report.clock, sent, now)
         self._record_contact()
-        self._link.shard.take_report(self._executor, report, sent, now, self._link.wall())
+        self._link.shard.apply_report(self._executor, report, sent, now, self._link.wall())
         if not self._link.first_report.is_set():
             self._link.first_report.set()
             log.info(
--- a/vanillawell/coordination/lease_manager.py
+++ b/vanillawell/coordination/lease_manager.py
@@ -38,7 +38,7 @@
 FIRST_CONTACT_TIMEOUT = 0.5
 """Seconds after loading a shard within which running executors should have reported."""
 
-NAMES_LOGGED = 5
+MAX_LOGGED_NAMES = 5
 """Executors named in one log line."""
 
 
@@ -226,7 +226,7 @@
             "token": self._token,
             "silent": len(remaining),
             "longest": round(max(remaining, default=0.0), 3),
-            "executors": sorted(document.silent)[:NAMES_LOGGED],
+            "executors": sorted(document.silent)[:MAX_LOGGED_NAMES],
             "handed_over": len(document.handed_over),
         }
         log.info("lease bounds written", extra=fields)
