--- a/vanillawell/coordination/advice_requester.py
+++ b/vanillawell/coordination/advice_requester.py
@@ -81,7 +81,7 @@
         return queue.advice if queue else None
 
     def _next_query(self, now: float) -> AdviceQuery | None:
-        """Return the request for the step without tickets that is most urgent.
+        """Return the request for the step without tickets that has the earliest deadline.
 
         Steps for which no executor could run a task now are skipped, so that they do not delay
         others.
--- a/vanillawell/coordination/challenger.py
+++ b/vanillawell/coordination/challenger.py
@@ -97,7 +97,7 @@
             return
         log.info("shard asked for", extra={**fields, "first": result.succeeded})
 
-    async def wait_for_stronger_bid(self) -> Contender:
+    async def wait_for_bid(self) -> Contender:
         """Wait until an entry with a much smaller shortfall bids for this entry's shard; return it.
 
         Each bid is returned once, so that a bidder that was lost does not cause repeated
--- a/vanillawell/coordination/configuration_editor.py
+++ b/vanillawell/coordination/configuration_editor.py
@@ -33,7 +33,7 @@
 """Versions kept in the store; at 2,400 changes a day, an unlimited history would fill it."""
 
 RETRY_INTERVAL = 0.5
-"""Seconds between two of these attempts."""
+"""Seconds between two attempts at a write."""
 
 Change = Callable[["OperatorTree"], "OperatorTree"]
 """Function that builds the new tree from the one in force."""
--- a/vanillawell/coordination/cycle_log.py
+++ b/vanillawell/coordination/cycle_log.py
@@ -1,7 +1,8 @@
 """Log the tasks that one scheduling cycle started and those it recorded as done.
 
-Peaks start and end hundreds of tasks a second. With a line for each, the bound on lines of a kind
-would leave out just those that explain a late job; so a line holds many tasks, each whole.
+Peaks start and end hundreds of tasks a second. With one line for each, the budget of log lines with
+the same message would be exceeded, and the dropped lines would be those that explain a late job. So
+each line lists many tasks, with all their fields.
 """
 
 from __future__ import annotations
@@ -17,8 +18,8 @@
 
 log = logging.getLogger(__name__)
 
-ROWS_IN_A_LINE = 32
-"""Tasks in one log line, some two kilobytes."""
+MAX_TASKS_PER_LINE = 32
+"""Maximum number of tasks in one log line, which makes about two kilobytes."""
 
 
 def log_started_tasks(runs: Sequence[Run], token: int) -> None:
@@ -35,5 +36,5 @@
 
 
 def _log_rows(message: str, rows: list[list[object]], token: int) -> None:
-    for first in range(0, len(rows), ROWS_IN_A_LINE):
-        log.info(message, extra={"runs": rows[first : first + ROWS_IN_A_LINE], "token": token})
+    for first in range(0, len(rows), MAX_TASKS_PER_LINE):
+        log.info(message, extra={"runs": rows[first : first + MAX_TASKS_PER_LINE], "token": token})
--- a/vanillawell/coordination/dispatch.py
+++ b/vanillawell/coordination/dispatch.py
@@ -262,7 +262,10 @@
             self._start(pool, item, executor, now)
 
     def _end_cannot_finish(self, pool: PoolRuntime, item: WaitingRequest) -> None:
-        """End a request that cannot finish in time, unless an earlier attempt is still running."""
+        """End a request that cannot finish in time.
+
+        If an earlier attempt of it is still running, only the queued second attempt is dropped.
+        """
         ticket = self._tickets[item]
         if not ticket.running:
             self._finish(ticket, self._admission.cannot_finish(pool, ticket))
--- a/vanillawell/coordination/document_sync.py
+++ b/vanillawell/coordination/document_sync.py
@@ -69,7 +69,7 @@
 
     @property
     def revision(self) -> int:
-        """Return the store revision at which the document was last read from the store."""
+        """Return the store revision of the document that was last read from the store."""
         return self._revision
 
     def fresh_age(self, now: float) -> float:
@@ -169,8 +169,8 @@
     async def _cancel_when_not_watcher(self, scope: anyio.CancelScope) -> None:
         """Cancel the watch once this entry is no longer one of its zone's watchers.
 
-        After its start each entry knows only itself and watches the store. If it did not stop, the
-        store would serve one watch for each entry and document.
+        After its start an entry has not found any other member yet and watches the store. If it did
+        not stop, the store would serve one watch for each entry and document.
         """
         while self._membership.is_watcher():
             await anyio.sleep(self._settings.poll_interval)
--- a/vanillawell/coordination/driver_clocks.py
+++ b/vanillawell/coordination/driver_clocks.py
@@ -1,4 +1,4 @@
-"""Read the steady clocks of all executors that an owner has contact with."""
+"""Read the monotonic clocks of all executors that an owner has contact with."""
 
 from __future__ import annotations
 
@@ -29,9 +29,9 @@
     def upper_bound(self, now: float) -> dict[str, float]:
         """Return upper bounds of what the clocks show now, by executor incarnation.
 
-        Clocks that a successor can probably read come first: those of reachable executors, then
-        those of executors with long-running tasks, whose machines are not moved, then the most
-        recently read ones.
+        Clocks that a successor can probably read come first: those of reachable executors, among
+        these the ones with long-running tasks, whose machines are not moved, and among these the
+        most recently read ones.
         """
         read = sorted(
             self._readable_drivers(),
--- a/vanillawell/coordination/executor_driver.py
+++ b/vanillawell/coordination/executor_driver.py
@@ -81,7 +81,7 @@
     def wake_if_needed(self) -> None:
         """Wake the driver if it is idle and a call is due; cheap enough to run in every scheduling
         cycle."""
-        if self._idle and self._wants_hold():
+        if self._idle and self._is_hold_due():
             self._wake_event.set()
 
     async def run(self) -> None:
@@ -89,7 +89,7 @@
         confirmation."""
         try:
             while self._is_needed():
-                if self._wants_hold():
+                if self._is_hold_due():
                     await self._hold_once()
                 else:
                     self._idle = True
@@ -105,7 +105,7 @@
         await self._wake_event.wait()
         self._wake_event = anyio.Event()
 
-    def _wants_hold(self) -> bool:
+    def _is_hold_due(self) -> bool:
         executor = self._executor
         if not executor.facts.address:
             return False
@@ -265,8 +265,8 @@
     def _record_failure(self, error: Exception) -> None:
         """Stop placing tasks on the executor for a while, and count none of its runs as available.
 
-        Even a refused connection does not prove that the executor has terminated: on a broken
-        network path, another host may refuse it while the executor keeps running.
+        Even a refused connection does not prove that the executor has terminated: a device on a
+        broken network path may refuse it while the executor keeps running.
         """
         self._link.block_placement()
         self._executor.mark_unresponsive()
--- a/vanillawell/coordination/executor_link.py
+++ b/vanillawell/coordination/executor_link.py
@@ -44,8 +44,8 @@
     """Sequence number among the leases sent to the executor."""
 
     previous_expiry: float
-    """Clock of decisions at which all earlier leases have certainly expired, which holds if this
-    call has no effect."""
+    """Time of `clock.read` at which all earlier leases have certainly expired; it applies again if
+    this call has no effect."""
 
 
 @dataclass(slots=True)
@@ -85,8 +85,8 @@
     @property
     def has_clock_reading(self) -> bool:
         """Return whether the clock of the executor's current incarnation has been read."""
-        is_present = self._clock_incarnation == self.executor.facts.incarnation
-        return is_present and self.clock.value is not None
+        is_current = self._clock_incarnation == self.executor.facts.incarnation
+        return is_current and self.clock.value is not None
 
     def begin_incarnation(self, incarnation: int) -> bool:
         """Drop the clock readings of a previous incarnation; return whether there was one.
@@ -160,8 +160,8 @@
         By the time of the answer the executor may have a new incarnation at another address, of
         which the answer says nothing.
         """
-        is_present = target.incarnation == self.executor.facts.incarnation
-        fields = {"executor": target.executor, "reason": reason, "is_present": is_present}
+        is_current = target.incarnation == self.executor.facts.incarnation
+        fields = {"executor": target.executor, "reason": reason, "is_present": is_current}
         log.warning("executor gone", extra={**fields, "runs": len(self.executor.runs)})
         self.shard.mark_terminated(target.executor, target.incarnation, clock.read(), self.wall())
         self.wake_owner()
--- a/vanillawell/coordination/inbox.py
+++ b/vanillawell/coordination/inbox.py
@@ -42,7 +42,7 @@
         self._wake = wake
         self._last_change_at = 0.0
         self.is_read = False
-        """Whether all requests are known that callers made before this term."""
+        """Whether all requests that callers made before this term have been read."""
         self._watch = PrefixWatch(
             store, keys.inbox, WATCH_TIMEOUT, self._apply_listing, self._apply_changes
         )
@@ -124,7 +124,7 @@
             )
 
     def _record_accepted(self, job_id: str, key: str) -> None:
-        """Delete a key of the inbox together with the write of the job's record."""
+        """Mark a key of the inbox for deletion, together with the write of the job's record."""
         self._shard.outbox.accepted_requests.setdefault(job_id, set()).add(key)
 
     def _cancel(self, job_id: str) -> None:
--- a/vanillawell/coordination/inherited_orders.py
+++ b/vanillawell/coordination/inherited_orders.py
@@ -21,7 +21,7 @@
 POLL_INTERVAL = 0.1
 """Seconds between two checks of the orders of previous owners."""
 
-NAMES_LOGGED = 5
+MAX_LOGGED_NAMES = 5
 """Maximum number of machines named in one log line."""
 
 
@@ -55,7 +55,7 @@
         pending = orders.pending_of_previous_owner(clock.read())
         self._shard.ledger.withhold(pending)
         if pending:
-            some = sorted(pending)[:NAMES_LOGGED]
+            some = sorted(pending)[:MAX_LOGGED_NAMES]
             log.info("machines withheld", extra={"machines": len(pending), "some": some})
         self._loaded.set()
         self._wake()
@@ -67,6 +67,6 @@
                 del pending[name]
                 self._shard.ledger.release_machine(name, now)
             if over:
-                some = sorted(over)[:NAMES_LOGGED]
+                some = sorted(over)[:MAX_LOGGED_NAMES]
                 log.info("machines let go", extra={"machines": len(over), "some": some})
                 self._wake()
--- a/vanillawell/coordination/lease_manager.py
+++ b/vanillawell/coordination/lease_manager.py
@@ -1,9 +1,9 @@
-"""Decide which executors' leases an owner extends, and store for its successors when others expire.
+"""Decide which executors' leases an owner extends, and store bounds on the others for successors.
 
-An executor that does not answer may run its tasks until its leases have expired. Only the owner
-knows when that is. If each new owner assumed the longest possible lease from its own start, the
-wait would begin again with every change of owner, and a long-running task would not be restarted
-for as long as owners keep changing. So the owner stores a bound for each unresponsive executor, and
+An executor that does not answer may run its tasks until its leases have expired. That time is known
+only to the owner. If each new owner assumed the longest possible lease from its own start, the wait
+would begin again with every change of owner, and a long-running task would not be restarted for as
+long as owners keep changing. So the owner stores a bound for each unresponsive executor, and
 does not extend the leases of an executor that the stored document lists as silent until the store
 holds a newer document without it.
 """
@@ -38,7 +38,7 @@
 FIRST_CONTACT_TIMEOUT = 0.5
 """Seconds after loading a shard within which running executors should have reported."""
 
-NAMES_LOGGED = 5
+MAX_LOGGED_NAMES = 5
 """Executors named in one log line."""
 
 
@@ -70,7 +70,7 @@
             inherited: Bounds that the previous owner stored.
             max_inherited_lease: Seconds for which an executor without a stored bound may hold
                 leases.
-            clocks: Steady clocks of the executors.
+            clocks: Monotonic clocks of the executors.
         """
         self._key = key
         self._token = token
@@ -226,7 +226,7 @@
             "token": self._token,
             "silent": len(remaining),
             "longest": round(max(remaining, default=0.0), 3),
-            "executors": sorted(document.silent)[:NAMES_LOGGED],
+            "executors": sorted(document.silent)[:MAX_LOGGED_NAMES],
             "handed_over": len(document.handed_over),
         }
         log.info("lease bounds written", extra=fields)
--- a/vanillawell/coordination/leases.py
+++ b/vanillawell/coordination/leases.py
@@ -36,8 +36,8 @@
 def max_inherited_lease(longest_lease: float, kill_grace: float) -> float:
     """Return the seconds after a take-over for which unreachable executors may still run tasks.
 
-    That is the time until the previous owner's last renewal, its lease on a slow clock, and the
-    grace period for the kill.
+    That is the sum of the time until the previous owner's last renewal, its lease on a slow clock,
+    and the grace period for the kill.
     """
     lease = min(TASK_LEASE, longest_lease)
     return RENEWAL_AFTER_LAPSE + lease * (1 + CLOCK_DRIFT) + kill_grace + LEASE_MARGIN
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True)
 class ExecutorClock:
-    """Estimate of an executor's steady clock, based on the readings in its answers.
+    """Estimate of an executor's monotonic clock, based on the readings in its answers.
 
     A reading was made after the call was sent and before the answer was read, possibly long before
     it was read if the answer or this process was delayed.
@@ -109,7 +109,7 @@
 
 
 class ExecutorClocks(Protocol):
-    """Bounds on the steady clocks of executors, in seconds by incarnation."""
+    """Bounds on the monotonic clocks of executors, in seconds by incarnation."""
 
     def lower_bound(self, now: float) -> Mapping[str, float]:
         """Return the minimum that each clock shows now."""
--- a/vanillawell/coordination/limit_manager.py
+++ b/vanillawell/coordination/limit_manager.py
@@ -238,7 +238,7 @@
         }
 
     def _releases_units(self, organisation: str, plan: Ledger) -> bool:
-        """Return whether a write releases units; the ledger is then read again before it.
+        """Return whether a write releases units; if so, the ledger is read again before the write.
 
         In an outage the outcome of every entry's next releasing write would be unknown, and the
         units would be unused until the store recovers. If a read fails first, they stay in use.
--- a/vanillawell/coordination/machine_orders.py
+++ b/vanillawell/coordination/machine_orders.py
@@ -6,9 +6,9 @@
 only those machines for that interval. Excluding all machines would leave a pool without new
 machines for seconds after each change of owner.
 
-The age of the orders is measured by the steady clocks of executors, whose readings are stored with
-them. Wall clocks of two entries may differ by seconds, and counting from the change of owner would
-prolong the exclusion by the seconds in which nobody owned the shard.
+The age of the orders is measured by the monotonic clocks of executors, whose readings are stored
+with them. Wall clocks of two entries may differ by seconds, and counting from the change of owner
+would prolong the exclusion by the seconds in which nobody owned the shard.
 """
 
 from __future__ import annotations
@@ -236,8 +236,8 @@
             log.info("time limit for announced orders raised", extra={"freshness": round(limit, 3)})
 
     def _inherited_ages(self, now: float) -> dict[str, float]:
-        """Return the previous owner's machines that successors have to know, with the ages of the
-        orders."""
+        """Return the machines of the previous owner's orders that are stored for successors again,
+        with the ages of the orders."""
         passed = self._time_since_inherited(now)
         ages = {name: age + passed for name, age in (self._inherited or {}).items()}
         bound = max(self._retention, self._exclusion_period + self._inherited_freshness)
--- a/vanillawell/coordination/pool_demand.py
+++ b/vanillawell/coordination/pool_demand.py
@@ -85,7 +85,7 @@
     """Measure the capacity and demand of the pools during one term."""
 
     def __init__(self, shard: Shard, began: float) -> None:
-        """Initialise the meter; `began` is the clock of decisions at which the term began."""
+        """Initialise the meter; `began` is the time of `clock.read` at which the term began."""
         self._shard = shard
         self._term_started_at = began
         self._sizes: dict[str, Resources] = {}
--- a/vanillawell/coordination/run_orders.py
+++ b/vanillawell/coordination/run_orders.py
@@ -35,7 +35,7 @@
 """Seconds after which a stored start decision is no longer sent.
 
 This process may have been suspended since the decision. Its successor reads the decision from the
-store but does not know until when the lease sent with a late order would last.
+store, which does not show until when the lease sent with a late order would last.
 """
 
 REPORT_ATTEMPTS = 3
--- a/vanillawell/coordination/wave_age.py
+++ b/vanillawell/coordination/wave_age.py
@@ -1,9 +1,9 @@
 """Store how long a wave has been known, so that later owners of the shard continue the count.
 
-Waves have to be completed in time. An owner that counted from the start of its own term would start
-the wave over and hurry too late. Therefore the age is stored with the wave's progress, together
-with readings of executors' steady clocks: these run on while nobody owns the shard, and wall clocks
-of two entries may differ by seconds.
+Waves have to be completed in time. An owner that counted from the start of its own term would wait
+too long before it stops the tasks that are left. Therefore the age is stored with the wave's
+progress, together with readings of executors' monotonic clocks: these run on while nobody owns the
+shard, and wall clocks of two entries may differ by seconds.
 """
 
 from __future__ import annotations
@@ -29,10 +29,10 @@
 
     seconds: float = 0.0
     clocks: Mapping[str, float] = field(default_factory=dict)
-    """Upper bounds of executors' steady clocks, in seconds by incarnation."""
+    """Upper bounds of executors' monotonic clocks, in seconds by incarnation."""
 
     def estimate_first_seen(self, clocks: ExecutorClocks, now: float) -> float:
-        """Return the latest clock of decisions at which the wave was certainly known.
+        """Return the time of `clock.read` by which the wave was certainly known.
 
         The result may become earlier with each call, as more clocks are read.
         """
--- a/vanillawell/node.py
+++ b/vanillawell/node.py
@@ -91,7 +91,7 @@
 
     @property
     def owns(self) -> bool:
-        """Return whether this entry owns the shard, as far as it knows."""
+        """Return whether this entry owns the shard, as far as known."""
         return self._owner is not None and self._owner.loaded
 
     @property
@@ -106,17 +106,17 @@
             tasks.start_soon(self._candidate.watch_holder)
             tasks.start_soon(self._own)
             tasks.start_soon(self._challenge)
-            tasks.start_soon(self._yield_to_stronger)
+            tasks.start_soon(self._hand_over_to_bidders)
 
     async def _challenge(self) -> None:
-        """Bid for the shard of weaker owners until a stop is requested."""
+        """Bid for the shard if its owner has a much larger shortfall, until a stop is requested."""
         with self._challenge_scope:
             await self._challenger.run()
 
-    async def _yield_to_stronger(self) -> None:
+    async def _hand_over_to_bidders(self) -> None:
         """Hand the shard over to any bidder with a much smaller capacity shortfall."""
         while True:
-            stronger = await self._challenger.wait_for_stronger_bid()
+            bidder = await self._challenger.wait_for_bid()
             term, owner = self._term, self._owner
             if term is None or owner is None or self._stopping.is_set():
                 continue
@@ -125,7 +125,7 @@
                 "token": term.token,
                 "weakness": self._candidate.contender.weakness,
             }
-            log.info("giving way", extra={**fields, "to": stronger.name})
+            log.info("giving way", extra={**fields, "to": bidder.name})
             handed_over = await self._hand_over_within(term, owner, BIDDER_HAND_OVER_TIMEOUT)
             if not handed_over and term.is_closed:
                 await self._release_without_bounds(term, owner)
