--- a/vanillawell/coordination/candidate.py
+++ b/vanillawell/coordination/candidate.py
@@ -44,7 +44,7 @@
 """Seconds by which an entry with the largest capacity shortfall delays its try."""
 
 REQUIRED_CORES = 1.0
-"""Reference cores with which an owner keeps up with about two hundred executors."""
+"""Cores of the reference speed with which an owner keeps up with about two hundred executors."""
 
 REQUIRED_LINK = 50.0
 """Megabits per second with which an owner reads a page of the store in a fraction of its lease."""
--- a/vanillawell/coordination/dispatch.py
+++ b/vanillawell/coordination/dispatch.py
@@ -353,7 +353,7 @@
         if failure is Failure.REFUSED_FULL:
             pool.health.record_full(executor, now, pool.running_at(executor))
         elif failure is not Failure.TOO_LATE:
-            self._note_failure(pool, executor, failure, now)
+            self._record_failure(pool, executor, failure, now)
             ticket.waiting.tried.add(executor)
         ticket.may_have_run |= failure is Failure.INCOMPLETE_RESPONSE
         ticket.last_answer = answer or ticket.last_answer
@@ -364,7 +364,9 @@
             return
         self._retry_or_end(pool, ticket, failure, now)
 
-    def _note_failure(self, pool: PoolRuntime, executor: str, failure: Failure, now: float) -> None:
+    def _record_failure(
+        self, pool: PoolRuntime, executor: str, failure: Failure, now: float
+    ) -> None:
         sent = failure is not Failure.NOT_SENT
         if pool.health.record_failure(executor, now, len(pool.links), sent):
             self._telemetry.record_ejection(executor, pool.policy.name)
--- a/vanillawell/coordination/limit_manager.py
+++ b/vanillawell/coordination/limit_manager.py
@@ -53,7 +53,7 @@
 RELEASE_STEP = 0.25
 """Fraction of the held units that is released to other entries in one step."""
 
-COPY_MAX_AGE = 0.5
+MAX_COPY_AGE = 0.5
 """Seconds after which a ledger copy is read again while this entry lacks units."""
 
 
@@ -148,7 +148,7 @@
             self._dirty.add(organisation)
             self._wake.set()
 
-    def note_reports(self, organisations: Iterable[str]) -> None:
+    def handle_demand_reports(self, organisations: Iterable[str]) -> None:
         """Handle reports of other entries with new demand of these organisations."""
         self._dirty.update(organisations)
         self._wake.set()
@@ -253,7 +253,7 @@
             max(self._wanted(organisation), self._organisation_limit(organisation).even_share)
             > copy.usable
         )
-        return lacking and now - copy.read_at > COPY_MAX_AGE
+        return lacking and now - copy.read_at > MAX_COPY_AGE
 
     async def _read(self, organisations: list[str]) -> None:
         if not organisations:
--- a/vanillawell/entry_core.py
+++ b/vanillawell/entry_core.py
@@ -97,7 +97,7 @@
             settings.peer.host,
             lambda: self._names,
             self._own_rows,
-            self.limits.note_reports,
+            self.limits.handle_demand_reports,
         )
         self.planner: Planner | None = None
         self.job_runner: JobRunner | None = None
