--- a/vanillawell/tests/config_tests.py
+++ b/vanillawell/tests/config_tests.py
@@ -153,7 +153,7 @@
 
 
 def test_largest_configuration_fits_into_one_store_value() -> None:
-    document = slopes.configuration_of(430, 4000).to_bytes()
+    document = slopes.build_configuration(430, 4000).to_bytes()
     assert len(document) < 100_000
     assert len(Configuration.from_bytes(document).tree.of_kind("organisation")) == 430
 
--- a/vanillawell/tests/owner_memory_tests.py
+++ b/vanillawell/tests/owner_memory_tests.py
@@ -105,7 +105,9 @@
     """A machine goes down, the owner is killed before it detects this, and all others are stopped
     in turn. Each tracks the executor for less time than the list of machines may be outdated."""
     task = await silence_an_executor(built)
-    name = next(host.executor.name for host in built.hosts.values() if host.executor.faults.silent)
+    name = next(
+        host.executor.name for host in built.hosts.values() if host.executor.faults.unresponsive
+    )
     machine = built.machines.machines[built.hosts[name].machine]
     machine.state, machine.executor = "down", ""
     built.hosts[name].executor.crash()
@@ -179,7 +181,7 @@
 
 async def _replace_a_silent_executor(built: Cluster, name: str) -> None:
     """Start another executor on the machine of the silent one, and clear the list of machines."""
-    host = next(host for host in built.hosts.values() if host.executor.faults.silent)
+    host = next(host for host in built.hosts.values() if host.executor.faults.unresponsive)
     host.executor.leave()
     built.machines.machines.clear()
     await built.add_executor(name, machine=host.machine, born=host.executor.born + 5_000)
--- a/vanillawell/tests/scheduler_path_tests.py
+++ b/vanillawell/tests/scheduler_path_tests.py
@@ -175,7 +175,7 @@
 
 @with_cluster()
 async def test_queue_with_advice_uses_only_the_named_executors(built: Cluster) -> None:
-    built.machines.allowed = {"i-1"}
+    built.machines.advised_executors = {"i-1"}
     job_id, member = built.new_id(), built.members[0]
     await member.call("POST", HINTED_PREFIX + job_id, job(step(3)))
     await until(lambda: len(built.audit.started) == 3)
@@ -208,7 +208,7 @@
 
     await until(completed, 15)
     assert [machine.upkeeps for machine in built.machines.machines.values()] == [1, 1, 1]
-    assert built.machines.most_away == 1
+    assert built.machines.max_away == 1
     await until(lambda: sum(len(executor.running) for executor in built.executors) == 2)
 
 
--- a/vanillawell/tests/stopping_owner_tests.py
+++ b/vanillawell/tests/stopping_owner_tests.py
@@ -97,7 +97,7 @@
     it ran no scheduling cycles, all jobs would wait for the end of its process and its lease."""
     owner, job_id = await built.owner(), built.new_id()
     other = next(member for member in built.members if member is not owner)
-    built.store.faults.only = lambda body: "leases/all" in body
+    built.store.faults.write_filter = lambda body: "leases/all" in body
     built.store.faults.lose_answers = 1
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(_end_process, built, owner)
@@ -119,7 +119,7 @@
     owner = await built.owner()
     other = next(member for member in built.members if member is not owner)
     task = await start_long_running_task(built, owner)
-    built.store.faults.only = lambda body: "leases/all" in body
+    built.store.faults.write_filter = lambda body: "leases/all" in body
     built.store.faults.lose_answers = 1
     with anyio.fail_after(STOP_DURATION):
         await owner.node.hand_over()
--- a/vanillawell/tests/successive_owners_tests.py
+++ b/vanillawell/tests/successive_owners_tests.py
@@ -39,7 +39,7 @@
     task = f"{job_id}.0.0.0"
     await until(lambda: task in built.audit.started)
     host = next(host for host in built.hosts.values() if task in host.executor.running)
-    host.executor.faults.silent = True
+    host.executor.faults.unresponsive = True
     built.store.delete(f"servers/{host.executor.name}")
     return task
 
@@ -122,7 +122,9 @@
     shows the new owner that nothing runs there, so the long-running task runs again within the
     published time."""
     task = await silence_an_executor(built)
-    name = next(host.executor.name for host in built.hosts.values() if host.executor.faults.silent)
+    name = next(
+        host.executor.name for host in built.hosts.values() if host.executor.faults.unresponsive
+    )
     machine = built.machines.machines[built.hosts[name].machine]
     machine.state, machine.executor = "down", ""
     built.hosts[name].executor.crash()
