--- a/vanillawell/coordination/cycle_log.py
+++ b/vanillawell/coordination/cycle_log.py
@@ -1,7 +1,8 @@
 """Log the tasks that one scheduling cycle started and those it recorded as done.
 
-Peaks start and end hundreds of tasks a second. With a line for each, the bound on lines of a kind
-would leave out just those that explain a late job; so a line holds many tasks, each whole.
+Peaks start and end hundreds of tasks a second. With one line for each, the budget of log lines with
+the same message would be exceeded, and the dropped lines would be those that explain a late job. So
+each line lists many tasks, with all their fields.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 log = logging.getLogger(__name__)
 
 MAX_TASKS_PER_LINE = 32
-"""Tasks in one log line, some two kilobytes."""
+"""Maximum number of tasks in one log line, which makes about two kilobytes."""
 
 
 def log_started_tasks(runs: Sequence[Run], token: int) -> None:
--- a/vanillawell/coordination/executor_driver.py
+++ b/vanillawell/coordination/executor_driver.py
@@ -265,8 +265,8 @@
     def _record_failure(self, error: Exception) -> None:
         """Stop placing tasks on the executor for a while, and count none of its runs as available.
 
-        Even a refused connection does not prove that the executor has terminated: on a broken
-        network path, another host may refuse it while the executor keeps running.
+        Even a refused connection does not prove that the executor has terminated: a device on a
+        broken network path may refuse it while the executor keeps running.
         """
         self._link.block_placement()
         self._executor.mark_unresponsive()
--- a/vanillawell/node.py
+++ b/vanillawell/node.py
@@ -91,7 +91,7 @@
 
     @property
     def owns(self) -> bool:
-        """Return whether this entry owns the shard, as far as it knows."""
+        """Return whether this entry owns the shard, as far as known."""
         return self._owner is not None and self._owner.loaded
 
     @property
@@ -109,7 +109,7 @@
             tasks.start_soon(self._hand_over_to_bidders)
 
     async def _challenge(self) -> None:
-        """Bid for the shard of weaker owners until a stop is requested."""
+        """Bid for the shard if its owner has a much larger shortfall, until a stop is requested."""
         with self._challenge_scope:
             await self._challenger.run()
 
