--- a/vanillawell/tests/advice_requester_tests.py
+++ b/vanillawell/tests/advice_requester_tests.py
@@ -10,7 +10,7 @@
 from vanillawell.coordination.advice_requester import AdviceRequester
 from vanillawell.state.upkeep import SHORT_TASK_TIMEOUT
 from vanillawell.state.work_policy import AdviceRule, Queue, Service
-from vanillawell.tests.scheduler_cluster import HINTED_PREFIX, Cluster, until, with_cluster
+from vanillawell.tests.scheduler_cluster import ADVICE_PREFIX, Cluster, until, with_cluster
 from vanillawell.tests.scheduler_cluster import job as body_of_job
 from vanillawell.tests.scheduler_cluster import step as step_in_body
 from vanillawell.tests.scheduling_builders import POOL, QUEUE, ShardHarness, facts, job, step
@@ -121,7 +121,7 @@
     """Start a long-running task of a queue that requires advice, and wait until its tickets have
     expired."""
     long_running = body_of_job(step_in_body(longRunning=True, **fields), spec={"seconds": 99})
-    await built.members[0].call("POST", HINTED_PREFIX + built.new_id(), long_running)
+    await built.members[0].call("POST", ADVICE_PREFIX + built.new_id(), long_running)
     await until(lambda: bool(built.hosts["i-0"].executor.running))
     await built.add_executor("i-1")
     await until(lambda: built.hosts["i-1"].executor.holds > 0)
--- a/vanillawell/tests/copies_tests.py
+++ b/vanillawell/tests/copies_tests.py
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize("fields", [{}, {"speculative": True, "gang": True}])
-def test_other_tasks_are_not_copied(fields: dict[str, bool]) -> None:
+def test_tasks_that_are_not_speculative_are_not_copied(fields: dict[str, bool]) -> None:
     """Tasks that must not run twice wait until their run is confirmed to have ended.
 
     Running them twice can do harm: a stamp that is set twice, for example, counts as fraud.
--- a/vanillawell/tests/draining_state_tests.py
+++ b/vanillawell/tests/draining_state_tests.py
@@ -24,7 +24,7 @@
     from vanillawell.state.executors import Executor
     from vanillawell.state.work import Run
 
-GRACE = 0.4
+STOP_GRACE = 0.4
 """Maximum number of seconds that a stop takes."""
 
 
@@ -38,7 +38,7 @@
     return runs_to_stop(
         executor,
         lambda run: harness.shard.can_place_elsewhere(run, harness.now),
-        GRACE,
+        STOP_GRACE,
         harness.now,
     )
 
@@ -194,7 +194,7 @@
 
 def test_a_draining_executor_without_remaining_time_may_end_at_once() -> None:
     harness = ShardHarness(facts("i-0"))
-    assert stop_deadline_reached(_start_draining(harness, "i-0", None), GRACE, harness.now)
+    assert stop_deadline_reached(_start_draining(harness, "i-0", None), STOP_GRACE, harness.now)
 
 
 def test_a_task_that_needs_advice_is_not_moved_without_tickets() -> None:
--- a/vanillawell/tests/draining_tests.py
+++ b/vanillawell/tests/draining_tests.py
@@ -18,7 +18,7 @@
     with_cluster,
 )
 
-NOTICE = 3.0
+SHUTDOWN_NOTICE = 3.0
 """Seconds of a normal notice: the time for which executors continue, with a margin."""
 
 SHORT_NOTICE = 0.9
@@ -50,9 +50,9 @@
     await built.add_executor("i-1")
     await _wait_until_contacted(built, "i-1")
     draining, other = built.hosts["i-0"].executor, built.hosts["i-1"].executor
-    built.drain("i-0", NOTICE)
+    built.drain("i-0", SHUTDOWN_NOTICE)
     fewest = 2
-    with anyio.fail_after(NOTICE - 0.5):
+    with anyio.fail_after(SHUTDOWN_NOTICE - 0.5):
         while len(other.running) < 2:
             fewest = min(fewest, len(draining.running | other.running))
             await anyio.sleep(0.002)
@@ -117,13 +117,13 @@
     await _start_long_running(built, maxUnavailable=1)
     await built.add_executor("i-1")
     await _wait_until_contacted(built, "i-1")
-    built.drain("i-0", NOTICE)
+    built.drain("i-0", SHUTDOWN_NOTICE)
     for _ in range(2):
         owner = await built.owner()
         await owner.node.hand_over()
         await built.kill(owner)
         await anyio.sleep(0.1)
-    await until(lambda: len(built.hosts["i-1"].executor.running) == 2, NOTICE - 0.5)
+    await until(lambda: len(built.hosts["i-1"].executor.running) == 2, SHUTDOWN_NOTICE - 0.5)
     built.leave("i-0")
 
 
@@ -139,11 +139,11 @@
     draining, other = built.hosts["i-0"].executor, built.hosts["i-1"].executor
     built.store.faults.refuse = True
     await anyio.sleep(1.3)
-    built.drain("i-0", NOTICE)
+    built.drain("i-0", SHUTDOWN_NOTICE)
     await anyio.sleep(0.4)
     assert len(draining.running) == 2
     built.store.faults.refuse = False
-    await until(lambda: len(other.running) == 2, NOTICE)
+    await until(lambda: len(other.running) == 2, SHUTDOWN_NOTICE)
     built.leave("i-0")
 
 
--- a/vanillawell/tests/dropped_queue_tests.py
+++ b/vanillawell/tests/dropped_queue_tests.py
@@ -4,7 +4,7 @@
 
 from vanillawell import clock
 from vanillawell.tests.scheduler_cluster import (
-    HINTED_PREFIX,
+    ADVICE_PREFIX,
     PREFIX,
     Cluster,
     config,
@@ -36,7 +36,7 @@
     """
     owner, first, waiting = await built.owner(), built.new_id(), built.new_id()
     await owner.call(
-        "POST", HINTED_PREFIX + first, job(step(TASKS_PER_EXECUTOR), spec={"seconds": 1.0})
+        "POST", ADVICE_PREFIX + first, job(step(TASKS_PER_EXECUTOR), spec={"seconds": 1.0})
     )
     await until(lambda: len(built.audit.started) == TASKS_PER_EXECUTOR)
     await owner.call("POST", PREFIX + waiting, job())
--- a/vanillawell/tests/gang_failures_tests.py
+++ b/vanillawell/tests/gang_failures_tests.py
@@ -37,7 +37,7 @@
 def test_gang_whose_members_fail_together_has_failed_once() -> None:
     """An unhealthy executor reports all members of one gang run as failed.
 
-    Counted one by one, these failures would use up all attempts of the gang.
+    Counted one by one, these failures would use up all attempts of a gang that can still succeed.
     """
     harness = ShardHarness(facts("i-0"))
     gang = job(step(3, gang=True))
--- a/vanillawell/tests/handover_outcome_tests.py
+++ b/vanillawell/tests/handover_outcome_tests.py
@@ -40,7 +40,7 @@
 DETECTION_TIME = 2.6
 """Seconds within which an owner detects that an executor of long-running tasks is unresponsive."""
 
-PROCESS_END = 4.1
+STOP_DURATION = 4.1
 """Seconds between the request to stop and the end of the process."""
 
 
@@ -79,7 +79,7 @@
     built.store.faults.refuse = True
     began = anyio.current_time()
     await owner.node.hand_over()
-    await anyio.sleep(PROCESS_END - (anyio.current_time() - began))
+    await anyio.sleep(STOP_DURATION - (anyio.current_time() - began))
     await built.kill(owner)
     await anyio.sleep(OUTAGE - (anyio.current_time() - began))
     built.store.faults.refuse = False
@@ -176,7 +176,7 @@
     built.store.faults.only = lambda body: "leases/all" in body
     built.store.faults.lose_answers = 1
     await owner.node.hand_over()
-    await anyio.sleep(PROCESS_END - 1.0)
+    await anyio.sleep(STOP_DURATION - 1.0)
     built.store.faults.delay = 0.0
     await built.kill(owner)
     await until(lambda: other.owns, 4)
--- a/vanillawell/tests/lease_manager_tests.py
+++ b/vanillawell/tests/lease_manager_tests.py
@@ -20,7 +20,7 @@
     from vanillawell.state.executors import Executor
 
 MAX_INHERITED_LEASE = 9.0
-KEY = "leases"
+LEASES_KEY = "leases"
 
 
 def bounds(silent: dict[str, float], clocks: dict[str, float] | None = None) -> LeaseBounds:
@@ -39,7 +39,7 @@
 
     def __post_init__(self) -> None:
         clocks = FixedClocks(self.clocks)
-        self.manager = LeaseManager(KEY, 2, self.inherited, MAX_INHERITED_LEASE, clocks)
+        self.manager = LeaseManager(LEASES_KEY, 2, self.inherited, MAX_INHERITED_LEASE, clocks)
         self.manager.begin(ShardHarness().now)
 
     def save(
@@ -217,7 +217,7 @@
     """It tracks no executor and has extended no lease. An empty document would make the wait for
     silent executors start again with the next owner."""
     inherited = LeaseBounds(1, {"i-1": ExecutorBound(4.0, 9.0)}, {"i-2": ExecutorBound(3.0, 9.0)})
-    manager = LeaseManager(KEY, 2, inherited, MAX_INHERITED_LEASE, FixedClocks({}))
+    manager = LeaseManager(LEASES_KEY, 2, inherited, MAX_INHERITED_LEASE, FixedClocks({}))
     assert manager.draft([], 100.0) is None
     put = manager.draft([], 100.0, final=True)
     assert put is not None
--- a/vanillawell/tests/limit_proof_tests.py
+++ b/vanillawell/tests/limit_proof_tests.py
@@ -164,7 +164,7 @@
     with running_fleet(tmp_path, **LONG_TERM) as fleet:
 
         def script(callers: SteadyCallers) -> None:
-            lost_entry = busiest(fleet)
+            lost_entry = entry_with_most_units(fleet)
             callers.remove_entry(lost_entry)
             fleet.remove_permanently(lost_entry)
             others = [entry for entry in fleet.entries.values() if entry is not lost_entry]
@@ -176,7 +176,7 @@
         under_load(fleet, script, long_call, answers=6)
 
 
-def busiest(fleet: Fleet) -> EntryHandle:
+def entry_with_most_units(fleet: Fleet) -> EntryHandle:
     """Return the entry that holds the most units."""
     return max(fleet.entries.values(), key=units_held)
 
@@ -190,7 +190,7 @@
     with running_fleet(tmp_path, **THREE_ZONES) as fleet:
 
         def script(callers: SteadyCallers) -> None:
-            paused = busiest(fleet)
+            paused = entry_with_most_units(fleet)
             paused.process.pause()
             time.sleep(HOLDING_TERM + 2.0 + 4.0)
             paused.process.resume()
--- a/vanillawell/tests/maintenance_proof_tests.py
+++ b/vanillawell/tests/maintenance_proof_tests.py
@@ -211,14 +211,16 @@
                 lambda: observer.status()["entries"] == 2, "two entries drop out of the member list"
             )
             fleet.cli("pool", "move", "check-5", "pool-stamp")
-            wait_until(lambda: executors("pool-check") == 5, "it is removed from the old pool")
+            wait_until(
+                lambda: executors("pool-check") == 5, "the instance is removed from the old pool"
+            )
             fleet.reset_backend()
             wait_for_answers(callers, 100, "requests are answered during the cut")
             wait_until(
                 lambda: "check-5" in {run["executor"] for run in fleet.backend_runs()},
                 "the cut-off zone still uses it",
             )
-            assert executors("pool-stamp") == 6, "it was reassigned while it was in use"
+            assert executors("pool-stamp") == 6, "the instance was reassigned while it was in use"
             for name in ("store", "in", "out"):
                 fleet.clear_fault(name)
             wait_until(lambda: executors("pool-stamp") == 7, "the move ends after the cut")
--- a/vanillawell/tests/narrow_link_tests.py
+++ b/vanillawell/tests/narrow_link_tests.py
@@ -27,7 +27,7 @@
 
     from anyio.abc import SocketStream
 
-PARTS = 6
+ANSWER_PARTS = 6
 """Parts in which an answer arrives."""
 
 PART_INTERVAL = 0.1
@@ -36,7 +36,7 @@
 CALL_TIMEOUT = 0.25
 """Seconds that the caller waits for an answer; shorter than all parts take together."""
 
-RESPONSE_HEAD = f"HTTP/1.1 200 OK\r\nContent-Length: {2 * PARTS}\r\n\r\n".encode()
+RESPONSE_HEAD = f"HTTP/1.1 200 OK\r\nContent-Length: {2 * ANSWER_PARTS}\r\n\r\n".encode()
 
 
 @asynccontextmanager
@@ -75,15 +75,15 @@
     If the read were abandoned and restarted from the first byte, it would never complete: an owner
     would read no new jobs and no cancellations, and would start tasks of cancelled jobs.
     """
-    assert anyio.run(_call, PARTS) == b"[]" * PARTS
+    assert anyio.run(_call, ANSWER_PARTS) == b"[]" * ANSWER_PARTS
 
 
 def test_answer_that_stops_arriving_times_out() -> None:
     """The connection is lost in the middle of an answer. The caller waits no longer than for an
     answer that never began."""
     began = time.monotonic()
-    assert anyio.run(_call, PARTS // 2) is None
-    assert time.monotonic() - began < PARTS // 2 * PART_INTERVAL + CALL_TIMEOUT + 0.3
+    assert anyio.run(_call, ANSWER_PARTS // 2) is None
+    assert time.monotonic() - began < ANSWER_PARTS // 2 * PART_INTERVAL + CALL_TIMEOUT + 0.3
 
 
 @with_cluster(members=2)
--- a/vanillawell/tests/orphan_claims_tests.py
+++ b/vanillawell/tests/orphan_claims_tests.py
@@ -12,7 +12,7 @@
 from vanillawell.protocol.store import KeyValue, Transaction, TransactionResult
 from vanillawell.tests.fakes import FaultyStore
 
-KEY = "/t/claim/guild/k"
+CLAIM_KEY = "/t/claim/guild/k"
 
 FINGERPRINT = "f"
 
@@ -39,17 +39,17 @@
 def applied_claim() -> tuple[InterceptingStore, OrphanClaims, KeyValue]:
     """Return a stored claim that was applied after its request had been refused as not run."""
     store = InterceptingStore()
-    store.put(KEY, CLAIM.to_bytes())
+    store.put(CLAIM_KEY, CLAIM.to_bytes())
     plain: Any = store
     orphans = OrphanClaims(plain)
-    orphans.add(KEY, CLAIM.token, 7, 0.0)
-    return store, orphans, store.items[KEY]
+    orphans.add(CLAIM_KEY, CLAIM.token, 7, 0.0)
+    return store, orphans, store.items[CLAIM_KEY]
 
 
 def test_a_claim_that_was_applied_late_is_deleted() -> None:
     store, orphans, _ = applied_claim()
     anyio.run(orphans.delete_applied, 1.0)
-    assert KEY not in store.items
+    assert CLAIM_KEY not in store.items
 
 
 def test_a_retry_adopts_the_claim_and_it_is_not_deleted() -> None:
@@ -57,7 +57,7 @@
     assert orphans.adopt(found, "another request") is None
     assert orphans.adopt(found, FINGERPRINT) == (CLAIM, 7)
     anyio.run(orphans.delete_applied, 1.0)
-    assert KEY in store.items
+    assert CLAIM_KEY in store.items
 
 
 def test_a_claim_with_a_deletion_in_flight_is_not_adopted() -> None:
@@ -83,8 +83,8 @@
 
 def test_an_orphaned_claim_is_dropped_after_the_retention_period() -> None:
     store, orphans, _ = applied_claim()
-    del store.items[KEY]
+    del store.items[CLAIM_KEY]
     anyio.run(orphans.delete_applied, ORPHAN_RETENTION + 1.0)
-    store.put(KEY, CLAIM.to_bytes())
+    store.put(CLAIM_KEY, CLAIM.to_bytes())
     anyio.run(orphans.delete_applied, ORPHAN_RETENTION + 2.0)
-    assert KEY in store.items
+    assert CLAIM_KEY in store.items
--- a/vanillawell/tests/owner_memory_tests.py
+++ b/vanillawell/tests/owner_memory_tests.py
@@ -17,16 +17,16 @@
 from vanillawell.tests.scheduling_builders import ShardHarness, facts, job, step
 from vanillawell.tests.successive_owners_tests import (
     LONGEST_ABSENCE,
-    kill,
+    kill_and_replace,
     silence_an_executor,
-    stop,
+    stop_and_replace,
 )
 
 WAVE_DURATION = 4.0
 """Seconds within which each machine of a wave has to complete its upkeep."""
 
 
-def succeed(
+def make_new_owner(
     harness: ShardHarness, *names: str, machine: str = "", incarnation: int = 0
 ) -> ShardHarness:
     """Return the shard of a new owner that has loaded the stored records of `harness`.
@@ -53,7 +53,7 @@
     harness.admit(job())
     first = harness.place()[0]
     harness.end(first, Ending.FAILED)
-    after = succeed(harness, "i-1", "i-2")
+    after = make_new_owner(harness, "i-1", "i-2")
     again = after.place()[0]
     assert again.executor != first.executor
 
@@ -71,7 +71,7 @@
     built.store.put_document("op/wave/1", wave)
     with anyio.fail_after(WAVE_DURATION):
         await anyio.sleep(WAVE_DURATION / 2)
-        await stop(built, await built.owner())
+        await stop_and_replace(built, await built.owner())
         await until(lambda: machine.upkeeps == 1, WAVE_DURATION)
 
 
@@ -117,11 +117,11 @@
 
 async def stop_in_turn(built: Cluster) -> None:
     """Kill the owner, then stop each later owner as planned after a short term."""
-    await kill(built, await built.owner())
+    await kill_and_replace(built, await built.owner())
     while True:
         await built.owner()
         await anyio.sleep(1.8)
-        await stop(built, await built.owner())
+        await stop_and_replace(built, await built.owner())
 
 
 def test_records_without_the_executors_of_failed_tasks_stay_readable() -> None:
@@ -191,7 +191,7 @@
     registers on the same machine, which proves that the first one has terminated, so the new owner
     must not wait for its leases."""
     task = await silence_an_executor(built)
-    await stop(built, await built.owner())
+    await stop_and_replace(built, await built.owner())
     await built.owner()
     await _replace_a_silent_executor(built, "i-after")
     await until(lambda: built.audit.started[task] == 2, 3.0)
@@ -206,7 +206,7 @@
     await until(lambda: built.audit.started[task] == 2, 3.0)
 
 
-def _with_a_long_running_run() -> ShardHarness:
+def _harness_with_long_running_run() -> ShardHarness:
     harness = ShardHarness(facts("i-1", incarnation=5))
     harness.admit(job(step(long_running=True)))
     assert len(harness.place()) == 1
@@ -214,16 +214,17 @@
 
 
 def test_next_executor_on_the_machine_of_a_terminated_one_ends_its_runs() -> None:
-    after = succeed(_with_a_long_running_run(), machine="m-1", incarnation=5)
+    after = make_new_owner(_harness_with_long_running_run(), machine="m-1", incarnation=5)
     after.register(facts("i-2", incarnation=6, machine="m-1"))
     assert [run.executor for run in after.place()] == ["i-2"]
 
 
 def test_earlier_executor_on_the_machine_does_not_end_the_runs_of_a_later_one() -> None:
     """An executor restarted on another machine, and a run planned before may have started in the
-    new incarnation. The registration of the executor that used that machine earlier still exists.
-    If it counted as proof of termination, the task would run twice."""
-    after = succeed(_with_a_long_running_run(), machine="m-2", incarnation=20)
+    new incarnation. The registration of the executor that used that machine earlier still exists;
+    it was made after the previous incarnation registered and before the new one did. If it counted
+    as proof of termination, the task would run twice."""
+    after = make_new_owner(_harness_with_long_running_run(), machine="m-2", incarnation=20)
     after.register(facts("i-2", incarnation=10, machine="m-2"))
     assert after.place() == []
     assert len(after.shard.ledger.executors["i-1"].runs) == 1
@@ -231,6 +232,6 @@
 
 def test_stored_machine_of_an_earlier_incarnation_is_not_used_for_a_later_run() -> None:
     """The stored machine is older than the run."""
-    after = succeed(_with_a_long_running_run(), machine="m-1", incarnation=4)
+    after = make_new_owner(_harness_with_long_running_run(), machine="m-1", incarnation=4)
     after.register(facts("i-2", incarnation=6, machine="m-1"))
     assert after.place() == []
--- a/vanillawell/tests/peak_tests.py
+++ b/vanillawell/tests/peak_tests.py
@@ -87,7 +87,7 @@
     """A peak on eight machines ends: arrivals fall to a twentieth while another pool's peak begins.
 
     If new tasks went to the machines with the most free capacity, all eight would keep a task or
-    two for seconds, and none could move to the other pool.
+    two for seconds, none could move to the other pool, and the callers of that pool would wait.
     """
     harness = ShardHarness(*(facts(f"i-{number}") for number in range(8)))
     rng = random.Random(11)
--- a/vanillawell/tests/pool_rebalancer_tests.py
+++ b/vanillawell/tests/pool_rebalancer_tests.py
@@ -18,7 +18,7 @@
     with_cluster,
 )
 from vanillawell.tests.standby_pools import STANDBY, configure_standby, simulate_moves
-from vanillawell.tests.successive_owners_tests import LONGEST_ABSENCE, stop
+from vanillawell.tests.successive_owners_tests import LONGEST_ABSENCE, stop_and_replace
 
 
 @with_cluster(executors=2)
@@ -156,7 +156,7 @@
     """A pool lacks one machine, which is moving when the owner is stopped. If the next owner did
     not expect it, each owner would take another machine from pools that need it."""
     ordered = await _request_one_machine(built)
-    await stop(built, await built.owner())
+    await stop_and_replace(built, await built.owner())
     await built.owner()
     await anyio.sleep(1.2)
     assert built.machines.moves == ordered
@@ -196,7 +196,7 @@
     """A new owner counts machines that are up as capacity for three seconds although no executor on
     them has registered. Owners replaced before that would never request the spare machine."""
     await _fill_pool_with_long_running_tasks(built)
-    await stop(built, await built.owner())
+    await stop_and_replace(built, await built.owner())
     await built.owner()
     await anyio.sleep(0.3)
     task = await _leave_machine_empty(built)
@@ -210,7 +210,7 @@
     """Stop each owner as planned after a short term."""
     while True:
         await anyio.sleep(1.6)
-        await stop(built, await built.owner())
+        await stop_and_replace(built, await built.owner())
         await built.owner()
 
 
@@ -227,7 +227,7 @@
     built.machines.machines["spare-1"] = StandInMachine("spare-1", STANDBY, "")
     configure_standby(built)
     built.store.delete("servers/i-0")
-    await stop(built, await built.owner())
+    await stop_and_replace(built, await built.owner())
     await built.owner()
     await anyio.sleep(1.5)
     built.register("i-0")
@@ -272,7 +272,7 @@
     configure_standby(built)
     await until(lambda: WorkKeys().machine_orders(SHARD) in built.store.items, 8)
     await anyio.sleep(0.05)
-    await stop(built, owner)
+    await stop_and_replace(built, owner)
     successor = await built.owner()
     long_running = step(3, longRunning=True, maxPerServer=1)
     await successor.call("POST", PREFIX + built.new_id(), job(long_running, spec={"seconds": 60}))
@@ -294,7 +294,7 @@
         "freshness": 1.0,
     }
     built.store.put_document(WorkKeys().machine_orders(SHARD), document)
-    await stop(built, await built.owner())
+    await stop_and_replace(built, await built.owner())
     successor, long_running = await built.owner(), step(2, longRunning=True, maxPerServer=1)
     await anyio.sleep(0.3)
     await successor.call("POST", PREFIX + built.new_id(), job(long_running, spec={"seconds": 60}))
--- a/vanillawell/tests/pool_sizing_tests.py
+++ b/vanillawell/tests/pool_sizing_tests.py
@@ -1,6 +1,6 @@
 """Test how machines are moved between pools whose demand peaks in turn.
 
-The pattern: each of four queues in turn requests about five times its mean for four seconds, more
+Scenario: each of four queues in turn requests about five times its mean for four seconds, more
 than its own six machines can serve, and a twentieth of that in between. Six more machines are on
 standby.
 """
--- a/vanillawell/tests/queue_documents_tests.py
+++ b/vanillawell/tests/queue_documents_tests.py
@@ -7,13 +7,15 @@
 from vanillawell.protocol.queue_documents import read_queues, write_queues
 from vanillawell.state.work_policy import AdviceRule, Queue
 
-PLAIN = Queue("plain", "a.example", "/plain/", "service-a", 0, 3, 1.5, 0.6, False)
-HINTED = Queue("h", "b.example", "/h/", "service-b", 2, 4, 2.0, 1.0, True, AdviceRule(0.1, 0.2, 5))
+QUEUE_WITHOUT_ADVICE = Queue("plain", "a.example", "/plain/", "service-a", 0, 3, 1.5, 0.6, False)
+QUEUE_WITH_ADVICE = Queue(
+    "h", "b.example", "/h/", "service-b", 2, 4, 2.0, 1.0, True, AdviceRule(0.1, 0.2, 5)
+)
 
 
 def test_queue_rules_are_unchanged_by_writing_and_reading() -> None:
     """A new owner applies the same rules to jobs of a removed queue as the previous owner."""
-    queues = {"plain": PLAIN, "h": HINTED}
+    queues = {"plain": QUEUE_WITHOUT_ADVICE, "h": QUEUE_WITH_ADVICE}
     assert read_queues(write_queues(queues)) == queues
 
 
--- a/vanillawell/tests/rotating_load.py
+++ b/vanillawell/tests/rotating_load.py
@@ -45,7 +45,7 @@
 PEAK_SECONDS = 10.0
 DAY_SECONDS = 41.0
 STANDBY = "standby"
-CORES = 32
+CORES_PER_MACHINE = 32
 
 
 @dataclass(frozen=True, slots=True)
@@ -124,7 +124,7 @@
     machine_seconds: float = 0.0
     _numbers: itertools.count[int] = field(default_factory=itertools.count)
 
-    def play(self) -> DayOutcome:
+    def simulate(self) -> DayOutcome:
         """Return the result of the day; traffic ends before the day's last jobs do."""
         for number in range(30):
             machine = f"m{number:02}"
@@ -150,7 +150,7 @@
         if pool == STANDBY:
             return
         name = f"{machine}-{next(self._numbers)}"
-        size = Resources(CORES * 1_000, 131_072)
+        size = Resources(CORES_PER_MACHINE * 1_000, 131_072)
         rack = f"r{int(machine[1:]) // 4}"
         self.harness.register(
             facts(name, rack=rack, service=pool, machine=machine, capacity=size),
@@ -245,7 +245,7 @@
             demanded_cores(own, steps, shard.durations), shard.arrivals.required_cores(pool, now)
         )
         return PoolDemand(
-            pool, len(own) + arriving, CORES, wanted, min_long_running_machines(steps)
+            pool, len(own) + arriving, CORES_PER_MACHINE, wanted, min_long_running_machines(steps)
         )
 
 
--- a/vanillawell/tests/rotating_peaks_tests.py
+++ b/vanillawell/tests/rotating_peaks_tests.py
@@ -22,7 +22,7 @@
 
 @pytest.fixture(scope="module")
 def days() -> list[DayOutcome]:
-    return [SimulatedDay(random.Random(seed)).play() for seed in SEEDS]
+    return [SimulatedDay(random.Random(seed)).simulate() for seed in SEEDS]
 
 
 def _worst_window(day: DayOutcome) -> float:
--- a/vanillawell/tests/scheduler_cluster.py
+++ b/vanillawell/tests/scheduler_cluster.py
@@ -39,8 +39,8 @@
 
 HOST = "jobs.example"
 PREFIX = "/jobs/"
-HINTED_PREFIX = "/hinted/"
-KEY = "key-of-north"
+ADVICE_PREFIX = "/hinted/"
+API_KEY = "key-of-north"
 POOL = "pool-a"
 
 
@@ -57,12 +57,12 @@
         "targetLatencyMs": 600,
     }
     hint = {"decideMs": 5, "eachMs": 1, "validityMs": 3000}
-    hinted = {**route, "name": "hinted", "prefix": HINTED_PREFIX, "hint": hint}
+    with_advice = {**route, "name": "hinted", "prefix": ADVICE_PREFIX, "hint": hint}
     document = {
         "version": version,
-        "routes": [route, hinted],
+        "routes": [route, with_advice],
         "services": [{"name": POOL, "rejectsOverload": False}],
-        "tenants": [{"name": "north", "apiKeys": [KEY], "weight": 10}],
+        "tenants": [{"name": "north", "apiKeys": [API_KEY], "weight": 10}],
         "limits": {"maxBodyBytes": 100_000},
     }
     return {**document, **changes}
@@ -177,7 +177,7 @@
         method: str,
         path: str,
         body: bytes = b"",
-        key: str | None = KEY,
+        key: str | None = API_KEY,
         wait_ms: int = 2000,
     ) -> Reply:
         """Make one call as a caller."""
--- a/vanillawell/tests/scheduler_failure_tests.py
+++ b/vanillawell/tests/scheduler_failure_tests.py
@@ -66,7 +66,8 @@
 @with_cluster(members=2)
 async def test_owner_lost_while_the_store_delivers_no_changes_is_replaced(built: Cluster) -> None:
     """The owner is killed, and its lease expires while the store delivers no changes to watches.
-    Another entry has to own the shard soon after the store delivers changes again."""
+    Another entry has to own the shard soon after the store delivers changes again, or all jobs
+    would wait indefinitely."""
     owner = await built.owner()
     survivor = next(member for member in built.members if member is not owner)
     built.store.faults.deaf = True
@@ -79,7 +80,8 @@
 
 @with_cluster(members=2)
 async def test_planned_stop_hands_the_shard_over_at_once(built: Cluster) -> None:
-    """The owner is requested to stop. Another entry owns the shard before the lease expires."""
+    """The owner is requested to stop. Another entry owns the shard well before the
+    lease expires."""
     owner = await built.owner()
     other = next(member for member in built.members if member is not owner)
     await owner.node.hand_over()
@@ -215,7 +217,7 @@
 @with_cluster(executors=1)
 async def test_lost_report_delays_the_end_of_a_task_only_briefly(built: Cluster) -> None:
     """One report in fifteen may be lost. Until the owner detects this, ends of runs on the executor
-    are unknown and its free capacity is not used."""
+    are unknown and its free capacity is not used, and callers wait for both."""
     member, executor, job_id = built.members[0], built.executors[0], built.new_id()
     await member.call("POST", PREFIX + job_id, job(step(2), spec={"seconds": 0.4}))
     await until(lambda: len(executor.running) == 2)
@@ -276,8 +278,8 @@
 
 @with_cluster()
 async def test_store_that_delivers_no_changes_delays_no_job(built: Cluster) -> None:
-    """The store delivers no changes to watches for some seconds. Jobs still start early, and a job
-    that is cancelled meanwhile is stopped."""
+    """The store delivers no changes to watches for some seconds. Jobs still start well before it
+    delivers them again, and a job that is cancelled meanwhile is stopped."""
     member, first, second = built.members[0], built.new_id(), built.new_id()
     built.store.faults.deaf = True
     await anyio.sleep(0.3)
@@ -369,7 +371,7 @@
 ) -> None:
     """One executor with a long-running task becomes unreachable; according to its last report the
     task runs, and its lease has not expired. Only one task of the step may be unavailable, so
-    upkeep of the machine of the other task must wait."""
+    upkeep of the machine of the other task must wait; otherwise no task would do the job's work."""
     job_id, short, member = built.new_id(), built.new_id(), built.members[0]
     long_running = step(2, longRunning=True, maxUnavailable=1, maxPerServer=1)
     await member.call("POST", PREFIX + job_id, job(long_running, spec={"seconds": 60}))
--- a/vanillawell/tests/scheduler_path_tests.py
+++ b/vanillawell/tests/scheduler_path_tests.py
@@ -6,8 +6,8 @@
 import orjson
 
 from vanillawell.tests.scheduler_cluster import (
-    HINTED_PREFIX,
-    KEY,
+    ADVICE_PREFIX,
+    API_KEY,
     PREFIX,
     Cluster,
     config,
@@ -55,18 +55,18 @@
 async def test_invalid_calls_get_specific_status_codes(built: Cluster) -> None:
     member, job_id = built.members[0], built.new_id()
     cases = [
-        ("POST", PREFIX + job_id, b"{", KEY, 400),
-        ("POST", PREFIX + job_id, b'{"steps": []}', KEY, 400),
-        ("POST", PREFIX + job_id, job(step(count=0)), KEY, 400),
-        ("POST", PREFIX + job_id, job(step(after=[0])), KEY, 400),
-        ("POST", PREFIX + "nothing-like-an-id", job(), KEY, 404),
-        ("POST", PREFIX + job_id, b"x" * 200_000, KEY, 413),
+        ("POST", PREFIX + job_id, b"{", API_KEY, 400),
+        ("POST", PREFIX + job_id, b'{"steps": []}', API_KEY, 400),
+        ("POST", PREFIX + job_id, job(step(count=0)), API_KEY, 400),
+        ("POST", PREFIX + job_id, job(step(after=[0])), API_KEY, 400),
+        ("POST", PREFIX + "nothing-like-an-id", job(), API_KEY, 404),
+        ("POST", PREFIX + job_id, b"x" * 200_000, API_KEY, 413),
         ("POST", PREFIX + job_id, job(), "another key", 401),
         ("POST", PREFIX + job_id, job(), None, 401),
-        ("POST", "/nowhere/" + job_id, job(), KEY, 404),
-        ("GET", PREFIX + job_id, b"", KEY, 410),
-        ("DELETE", PREFIX + job_id, b"", KEY, 410),
-        ("PATCH", PREFIX + job_id, b"", KEY, 400),
+        ("POST", "/nowhere/" + job_id, job(), API_KEY, 404),
+        ("GET", PREFIX + job_id, b"", API_KEY, 410),
+        ("DELETE", PREFIX + job_id, b"", API_KEY, 410),
+        ("PATCH", PREFIX + job_id, b"", API_KEY, 400),
     ]
     for method, path, body, key, status in cases:
         assert (await member.call(method, path, body, key)).status == status, (method, path, body)
@@ -158,7 +158,7 @@
 async def test_capacity_and_the_maximum_of_an_organisation_are_respected(built: Cluster) -> None:
     """An executor that accepts every start never gets more tasks than it has capacity for."""
     member = built.members[0]
-    tenants = [{"name": "north", "apiKeys": [KEY], "weight": 1, "maximum": {"cpu": 3_000}}]
+    tenants = [{"name": "north", "apiKeys": [API_KEY], "weight": 1, "maximum": {"cpu": 3_000}}]
     built.store.put_document("op/config", config(2, tenants=tenants))
     await anyio.sleep(0.2)
     ids = [built.new_id() for _ in range(4)]
@@ -177,7 +177,7 @@
 async def test_queue_with_advice_uses_only_the_named_executors(built: Cluster) -> None:
     built.machines.allowed = {"i-1"}
     job_id, member = built.new_id(), built.members[0]
-    await member.call("POST", HINTED_PREFIX + job_id, job(step(3)))
+    await member.call("POST", ADVICE_PREFIX + job_id, job(step(3)))
     await until(lambda: len(built.audit.started) == 3)
     assert not built.hosts["i-0"].executor.running
 
--- a/vanillawell/tests/shard_invariants_tests.py
+++ b/vanillawell/tests/shard_invariants_tests.py
@@ -18,11 +18,11 @@
 from vanillawell.state.work_policy import OrganisationLimits
 from vanillawell.tests.scheduling_builders import ShardHarness, facts, job
 
-CPU = 4_000
-MAXIMUM = 6_000
+EXECUTOR_CPU = 4_000
+ORGANISATION_MAXIMUM_CPU = 6_000
 ATTEMPTS = 3
 
-LEASE = 5.0
+LEASE_DURATION = 5.0
 """Seconds for which executors continue their runs without a renewal."""
 
 STEPS = st.lists(
@@ -53,11 +53,13 @@
     @initialize()
     def begin(self) -> None:
         limits = {
-            "north": OrganisationLimits("north", 1, Resources(MAXIMUM)),
+            "north": OrganisationLimits("north", 1, Resources(ORGANISATION_MAXIMUM_CPU)),
             "south": OrganisationLimits("south", 1, NO_RESOURCES),
         }
         names = ("i-0", "i-1", "i-2")
-        self.harness = ShardHarness(*(facts(name, CPU) for name in names), organisations=limits)
+        self.harness = ShardHarness(
+            *(facts(name, EXECUTOR_CPU) for name in names), organisations=limits
+        )
         self.shard = self.harness.shard
         self.incarnations = Counter(dict.fromkeys(names, 1))
         self.starts: list[Run] = []
@@ -150,7 +152,9 @@
         """Crash an executor; its next incarnation reports no runs."""
         self.incarnations[name] += 1
         self._discard_unconfirmed(name)
-        executor = self.harness.register(facts(name, CPU, incarnation=self.incarnations[name]))
+        executor = self.harness.register(
+            facts(name, EXECUTOR_CPU, incarnation=self.incarnations[name])
+        )
         now = self.harness.now = self.harness.now + 0.1
         self.shard.take_report(
             executor, HoldReport(0.0, self.incarnations[name], [], []), now + 0.01, now + 0.02, now
@@ -162,7 +166,7 @@
         if executor is None:
             return
         self.shard.ledger.unregister(name)
-        executor.lease_expires_at = self.harness.now + (0.0 if expired else LEASE)
+        executor.lease_expires_at = self.harness.now + (0.0 if expired else LEASE_DURATION)
         self._expire()
 
     def _expire(self) -> None:
@@ -170,7 +174,7 @@
         now = self.harness.now
         for executor in self.shard.ledger.executors.values():
             if executor.registered and executor.unresponsive_since is None:
-                executor.lease_expires_at = now + LEASE
+                executor.lease_expires_at = now + LEASE_DURATION
             elif executor.lease_expires_at <= now:
                 self._discard_unconfirmed(executor.name)
         self.shard.expire(now, now)
@@ -183,7 +187,7 @@
             return
         executor.mark_unresponsive()
         executor.unresponsive_since = self.harness.now
-        executor.lease_expires_at = self.harness.now + LEASE
+        executor.lease_expires_at = self.harness.now + LEASE_DURATION
 
     @rule(name=st.sampled_from(("i-0", "i-1", "i-2")))
     def reconnect(self, name: str) -> None:
@@ -206,7 +210,7 @@
 
     @rule(name=st.sampled_from(("i-0", "i-1", "i-2")))
     def register_again(self, name: str) -> None:
-        self.harness.register(facts(name, CPU, incarnation=self.incarnations[name]))
+        self.harness.register(facts(name, EXECUTOR_CPU, incarnation=self.incarnations[name]))
 
     @precondition(lambda self: self.shard.job_table.jobs)
     @rule(data=st.data())
@@ -225,10 +229,10 @@
                 used += run.reserved
                 total += run.task.step.spec.need
             assert used == executor.used
-            assert executor.used.cpu <= CPU
+            assert executor.used.cpu <= EXECUTOR_CPU
         both = self.shard.ledger.usage("north") + self.shard.ledger.usage("south")
         assert both == total
-        assert self.shard.ledger.usage("north").cpu <= MAXIMUM
+        assert self.shard.ledger.usage("north").cpu <= ORGANISATION_MAXIMUM_CPU
 
     @invariant()
     def only_speculative_tasks_have_two_open_runs(self) -> None:
--- a/vanillawell/tests/shares_tests.py
+++ b/vanillawell/tests/shares_tests.py
@@ -12,14 +12,14 @@
 from vanillawell.state.work_policy import OrganisationLimits
 from vanillawell.tests.scheduling_builders import ShardHarness, facts, job, step
 
-OTHERS = ("east", "south", "west")
+OTHER_ORGANISATIONS = ("east", "south", "west")
 CORES = 8
 
 
 def _build_harness(**weights: float) -> ShardHarness:
     limits = {
         name: OrganisationLimits(name, weights.get(name, 1), Resources())
-        for name in ("north", *OTHERS)
+        for name in ("north", *OTHER_ORGANISATIONS)
     }
     return ShardHarness(facts("i-0", CORES * 1_000), organisations=limits)
 
@@ -38,7 +38,7 @@
     harness = _build_harness()
     _submit(harness, "north", 60)
     harness.now += 0.01
-    for name in OTHERS:
+    for name in OTHER_ORGANISATIONS:
         _submit(harness, name, 2)
     assert _started(harness) == {"north": 2, "east": 2, "south": 2, "west": 2}
 
--- a/vanillawell/tests/short_terms_tests.py
+++ b/vanillawell/tests/short_terms_tests.py
@@ -9,9 +9,9 @@
 from vanillawell.tests.scheduler_cluster import Cluster, until, with_cluster
 from vanillawell.tests.successive_owners_tests import (
     LONGEST_ABSENCE,
-    kill,
+    kill_and_replace,
     silence_an_executor,
-    stop,
+    stop_and_replace,
 )
 
 BEFORE_DETECTION = 1.0
@@ -48,8 +48,8 @@
     task = await silence_an_executor(built)
     with anyio.fail_after(LONGEST_ABSENCE):
         await anyio.sleep(BEFORE_DETECTION)
-        await stop(built, await built.owner())
+        await stop_and_replace(built, await built.owner())
         successor = await built.owner()
         await anyio.sleep(0.3)
-        await kill(built, successor)
+        await kill_and_replace(built, successor)
         await until(lambda: built.audit.started[task] == 2, LONGEST_ABSENCE)
--- a/vanillawell/tests/standby_pools.py
+++ b/vanillawell/tests/standby_pools.py
@@ -11,12 +11,12 @@
     from vanillawell.tests.scheduler_cluster import Cluster
 
 STANDBY = "pool-standby"
-OTHER = "pool-other"
+OTHER_POOL = "pool-other"
 
 
 def configure_standby(built: Cluster) -> None:
     """Configure one pool as the standby pool."""
-    services = [{"name": POOL}, {"name": OTHER}, {"name": STANDBY, "standby": True}]
+    services = [{"name": POOL}, {"name": OTHER_POOL}, {"name": STANDBY, "standby": True}]
     built.store.put_document("op/config", config(2, services=services))
 
 
--- a/vanillawell/tests/standin_store_tests.py
+++ b/vanillawell/tests/standin_store_tests.py
@@ -12,7 +12,7 @@
 from vanillawell.tests.scheduler_cluster import listen, until
 
 PREFIX = "watched/"
-KEY = f"{PREFIX}one"
+WATCHED_KEY = f"{PREFIX}one"
 
 WATCH_WAIT = 0.3
 """Seconds for which a watch call waits for changes."""
@@ -26,7 +26,7 @@
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
             stand_in = StandInStore()
-            stand_in.put_document(KEY, {})
+            stand_in.put_document(WATCHED_KEY, {})
             store = PlatformStore(HttpClient(), listen(tasks, stand_in))
             after = (await store.list(PREFIX)).revision
             before = stand_in.calls
@@ -41,7 +41,7 @@
 
             async def delete_key() -> None:
                 await anyio.sleep(WATCH_WAIT / 3)
-                stand_in.delete(KEY)
+                stand_in.delete(WATCHED_KEY)
 
             async with anyio.create_task_group() as calls:
                 calls.start_soon(watch)
@@ -49,7 +49,7 @@
                 calls.start_soon(delete_key)
                 await anyio.sleep(0.01)
                 time.sleep(2 * WATCH_WAIT)
-            assert reported == [(KEY, None)]
+            assert reported == [(WATCHED_KEY, None)]
             tasks.cancel_scope.cancel()
 
     anyio.run(run)
--- a/vanillawell/tests/start_rules_tests.py
+++ b/vanillawell/tests/start_rules_tests.py
@@ -28,7 +28,7 @@
     assert running in harness.shard.ledger.executors["i-0"].runs.values()
 
 
-def test_task_waits_while_all_executors_drain() -> None:
+def test_task_waits_while_all_executors_drain_and_starts_when_one_is_ready() -> None:
     harness = ShardHarness(facts("i-0", draining=True))
     harness.admit(job())
     assert harness.place() == []
--- a/vanillawell/tests/state_tests.py
+++ b/vanillawell/tests/state_tests.py
@@ -67,7 +67,7 @@
     assert [usable_units(ledger, name, changes) for name in "ab"] == [6, 4]
 
 
-def test_an_old_ledger_copy_is_safe_after_a_limit_was_raised_and_lowered() -> None:
+def test_an_old_ledger_copy_never_exceeds_a_limit_that_was_raised_and_lowered() -> None:
     """A limit changed from 20 to 40 and back to 20 while this entry's copy is still the first one.
 
     Other holders may have taken 30 units meanwhile; using all ten held here would exceed the limit.
@@ -92,7 +92,7 @@
 
 
 def test_rounding_leaves_no_entry_without_units() -> None:
-    """Six entries want two units each of a limit of eight, and four of them hold two each.
+    """Six entries request two units each of a limit of eight, and four of them hold two each.
 
     Each entry's part is at least one unit. Rounded up, the four entries would keep all units and
     requests at the other two would wait until their deadlines.
--- a/vanillawell/tests/stopping_owner_tests.py
+++ b/vanillawell/tests/stopping_owner_tests.py
@@ -155,8 +155,8 @@
     carried_out: bool, delay: float
 ) -> None:
     """No final lease document of a stopping owner is ever confirmed, so it remains the owner until
-    its process ends. Jobs submitted meanwhile have to start exactly once, and long-running tasks
-    have to keep running."""
+    its process ends; after that no entry owns the shard until the lease expires. Jobs submitted
+    meanwhile have to start exactly once, and long-running tasks have to keep running."""
 
     @with_cluster(members=2)
     async def run(built: Cluster) -> None:
--- a/vanillawell/tests/successive_owners_tests.py
+++ b/vanillawell/tests/successive_owners_tests.py
@@ -4,8 +4,8 @@
 The failure: during a rolling restart, long-running tasks whose executors had left were away for 11
 to 17 seconds although there was free capacity. Only the owner knew how long an unresponsive
 executor might still hold leases; each new owner assumed the longest lease from its own start, and
-was replaced before that had expired. The tasks ran again 9.1 seconds after the last change of
-owner, once after a single change.
+was replaced before that had expired. Each of these tasks ran again 9.1 seconds after the last
+change of owner, regardless of when its executor had left; once after a single change.
 """
 
 from __future__ import annotations
@@ -44,14 +44,14 @@
     return task
 
 
-async def stop(built: Cluster, member: Member) -> None:
+async def stop_and_replace(built: Cluster, member: Member) -> None:
     """Stop an entry as planned and start another one."""
     await member.node.hand_over()
     await built.kill(member)
     built.add_member(f"{len(built.members)}-after")
 
 
-async def kill(built: Cluster, member: Member) -> None:
+async def kill_and_replace(built: Cluster, member: Member) -> None:
     """Kill an entry without notice and start another one."""
     await built.kill(member)
     built.add_member(f"{len(built.members)}-after")
@@ -67,7 +67,7 @@
     with anyio.fail_after(LONGEST_ABSENCE):
         for _ in range(3):
             await anyio.sleep(1.9)
-            await stop(built, await built.owner())
+            await stop_and_replace(built, await built.owner())
         await until(lambda: built.audit.started[task] == 2, LONGEST_ABSENCE)
 
 
@@ -80,7 +80,7 @@
     task = await silence_an_executor(built)
     with anyio.fail_after(LONGEST_ABSENCE):
         await anyio.sleep(4.0)
-        await stop(built, await built.owner())
+        await stop_and_replace(built, await built.owner())
         await until(lambda: built.audit.started[task] == 2, LONGEST_ABSENCE)
 
 
@@ -94,7 +94,7 @@
     with anyio.fail_after(LONGEST_ABSENCE):
         await anyio.sleep(DETECTION_TIME)
         for _ in range(2):
-            await kill(built, await built.owner())
+            await kill_and_replace(built, await built.owner())
             await anyio.sleep(0.2)
         await until(lambda: built.audit.started[task] == 2, LONGEST_ABSENCE)
 
@@ -107,7 +107,7 @@
     await owner.call("POST", PREFIX + job_id, job(step(longRunning=True), spec={"seconds": 60}))
     task = f"{job_id}.0.0.0"
     await until(lambda: task in built.audit.started)
-    for end in (stop, kill, stop, kill):
+    for end in (stop_and_replace, kill_and_replace, stop_and_replace, kill_and_replace):
         await anyio.sleep(1.5)
         await end(built, await built.owner())
     await built.owner()
@@ -127,5 +127,5 @@
     machine.state, machine.executor = "down", ""
     built.hosts[name].executor.crash()
     with anyio.fail_after(LONGEST_ABSENCE):
-        await kill(built, await built.owner())
+        await kill_and_replace(built, await built.owner())
         await until(lambda: built.audit.started[task] == 2, LONGEST_ABSENCE)
--- a/vanillawell/tests/term_tests.py
+++ b/vanillawell/tests/term_tests.py
@@ -225,7 +225,7 @@
     anyio.run(run)
 
 
-def test_take_over_soon_after_the_store_recovers() -> None:
+def test_shard_is_taken_over_soon_after_the_store_recovers() -> None:
     """The store is unresponsive for four seconds, and the owner's lease expires meanwhile. A
     pending call of a candidate must not leave the shard without an owner for long once the store
     answers again."""
@@ -294,13 +294,13 @@
             for candidate in candidates.values():
                 tasks.start_soon(candidate.watch_holder)
             for _ in range(6):
-                assert await _first_to_win(candidates) == "large"
+                assert await _find_first_owner(candidates) == "large"
             tasks.cancel_scope.cancel()
 
     anyio.run(run)
 
 
-async def _first_to_win(candidates: dict[str, Candidate]) -> str:
+async def _find_first_owner(candidates: dict[str, Candidate]) -> str:
     """Let all candidates try to take the shard, release it again, and return the winner's name."""
     winners: list[str] = []
 
--- a/vanillawell/tests/weak_owner_tests.py
+++ b/vanillawell/tests/weak_owner_tests.py
@@ -39,21 +39,21 @@
 if TYPE_CHECKING:
     from vanillawell.tests.scheduler_cluster import Cluster, Member
 
-WEAK: dict[str, float] = {"processor_share": 0.5, "link_mbit": 5}
-STRONG: dict[str, float] = {"processor_speed": 2, "link_mbit": 100}
+WEAK_CAPACITY: dict[str, float] = {"processor_share": 0.5, "link_mbit": 5}
+STRONG_CAPACITY: dict[str, float] = {"processor_speed": 2, "link_mbit": 100}
 
 CHANGE_TIMEOUT = 4.0
 """Seconds within which a stronger entry owns the shard; shorter than the leases of running
 tasks."""
 
 
-LEASE_OF_TASKS = 6.0
+TASK_LEASE = 6.0
 """Seconds after which a running task has ended unless its lease was renewed."""
 
 
 async def weak_owner(built: Cluster) -> Member:
     """Make a weak entry the owner by stopping all others; return it."""
-    weak = built.add_member("weak", WEAK)
+    weak = built.add_member("weak", WEAK_CAPACITY)
     await anyio.sleep(0.3)
     await built.kill(built.members[0])
     await until(lambda: weak.owns, 3.0)
@@ -75,7 +75,7 @@
     await weak.call("POST", PREFIX + job_id, job(step(longRunning=True), spec={"seconds": 60}))
     task = f"{job_id}.0.0.0"
     await until(lambda: task in built.audit.started)
-    strong = built.add_member("strong", STRONG)
+    strong = built.add_member("strong", STRONG_CAPACITY)
     await until(lambda: strong.owns, CHANGE_TIMEOUT)
     next_id = built.new_id()
     await weak.call("POST", PREFIX + next_id, job())
@@ -91,8 +91,8 @@
     one of many weak entries may win. A strong entry still gets the shard in the end."""
     await weak_owner(built)
     built.store.faults.delay = 0.25
-    weaker = [built.add_member(f"weak-{number}", WEAK) for number in range(3)]
-    strong = built.add_member("strong", STRONG)
+    weaker = [built.add_member(f"weak-{number}", WEAK_CAPACITY) for number in range(3)]
+    strong = built.add_member("strong", STRONG_CAPACITY)
     await until(lambda: strong.owns, 2 * CHANGE_TIMEOUT)
     assert not any(member.owns for member in weaker)
 
@@ -106,7 +106,7 @@
     await weak_owner(built)
     before = token(built)
     for number in range(3):
-        built.add_member(f"weak-{number}", WEAK)
+        built.add_member(f"weak-{number}", WEAK_CAPACITY)
     await anyio.sleep(CHANGE_TIMEOUT)
     assert token(built) == before
 
@@ -142,7 +142,7 @@
     built.store.put_document(WorkKeys().bid("all"), asdict(Contender("stronger/0", 0.0)))
     await until(lambda: built.store.faults.lose_answers < 3)
     built.store.faults.lose_answers = 1
-    await anyio.sleep(LEASE_OF_TASKS)
+    await anyio.sleep(TASK_LEASE)
     assert built.audit.started[task] == 1
     assert token(built) == before
     await weak.call("POST", PREFIX + next_id, job())
