--- a/vanillawell/tests/store_health_tests.py
+++ b/vanillawell/tests/store_health_tests.py
@@ -1,4 +1,4 @@
-"""Test that callers are refused early and correctly while the store is known to be unresponsive.
+"""Test that callers are refused promptly and correctly while the store is known to be unresponsive.
 
 The failure: the store is down for some seconds during a load peak. A caller that is told that its
 job has not run retries within three seconds, but a caller whose write may have been carried out
@@ -23,8 +23,8 @@
 
 @with_cluster(members=1)
 async def test_callers_are_told_to_retry_after_an_unanswered_write(built: Cluster) -> None:
-    """The first caller's write is not answered. Later callers have to be told early that their jobs
-    have not run, instead of waiting for an unknown outcome, and the jobs must not run."""
+    """The first caller's write is not answered. Later callers have to be told promptly that their
+    jobs have not run, instead of waiting for an unknown outcome, and the jobs must not run."""
     member, jobs = await built.owner(), [built.new_id() for _ in range(4)]
     built.store.faults.down = True
     first = await member.call("POST", JOBS + jobs[0], job())
--- a/vanillawell/tests/weak_owner_tests.py
+++ b/vanillawell/tests/weak_owner_tests.py
@@ -116,7 +116,7 @@
     built: Cluster,
 ) -> None:
     """A strong entry bids for the shard and is lost before it takes it. The weak one takes the
-    shard back early; callers do not wait until the bid expires."""
+    shard back promptly; callers do not wait until the bid expires."""
     weak = await weak_owner(built)
     before = token(built)
     built.store.put_document(WorkKeys().bid("all"), asdict(Contender("gone/0", 0.0)))
